--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -178,7 +178,7 @@
 func TestQuotas(t *testing.T) {
 	load := loadWith(t, "hosting")
 	c, err := load("(daledyke\n  (quotas ; ours\n    (account \"hosting\" (cpus 40 60) (gpus 8))\n    (account \"hosting/songshan\" (cpus 10 30.5) (weight 2)))\n  (sample 5))")
-	if err != nil || c.Sample != 5 || !c.Quotas.Has("hosting") {
+	if err != nil || c.Sample != 5 || !c.Quotas.HasTeam("hosting") {
 		t.Fatalf("read as %+v, %v", c, err)
 	}
 	if a, ok := c.Quotas.Find("hosting/songshan"); !ok || a.Guarantee.Cores != 10 || a.Limit.Cores != 30.5 || a.Weight != 2 {
--- a/internal/config/quotas.go
+++ b/internal/config/quotas.go
@@ -107,7 +107,7 @@
 // tree checks the accounts against the platform's teams.
 func (q *quotaForm) tree(c *Config) (*quota.Tree, error) {
 	t, err := quota.NewTree(q.accounts, func(name string) bool { return c.Team(name) != nil })
-	var f *quota.Fault
+	var f *quota.AccountError
 	if errors.As(err, &f) {
 		return nil, fmt.Errorf("line %d: %w", q.lines[f.Index], err)
 	}
@@ -118,7 +118,7 @@
 // team's own; "" if the team has no tree.
 func AccountOf(t *quota.Tree, s *protocol.JobSpec) string {
 	switch {
-	case !t.Has(s.Team):
+	case !t.HasTeam(s.Team):
 		return ""
 	case s.Account != "":
 		return s.Account
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -80,7 +80,7 @@
 		return refusal
 	}
 	// What was reserved had its permit.
-	if team := j.Spec.Team; reserved == nil && h.quotas.Has(team) && !h.permits(st.Permit, team) {
+	if team := j.Spec.Team; reserved == nil && h.quotas.HasTeam(team) && !h.acceptsPermit(st.Permit, team) {
 		return "no permit"
 	}
 	delete(w.entries, st.Task)
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -103,7 +103,7 @@
 
 // Receivers are what siblings may call.
 func (k *Controller) Receivers() map[string]any {
-	return map[string]any{rpcName: HolderRPC{k.holder}, lendName: QuotaRPC{k}}
+	return map[string]any{rpcName: HolderRPC{k.holder}, quotaServiceName: QuotaRPC{k}}
 }
 
 // Serve runs the controller until ctx ends, and serves users and workers at its front
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -166,7 +166,7 @@
 // demands is what has no machine, and what is expected to come.
 func (o *Owner) demands(now, started time.Time) []fleet.Demand {
 	var out []fleet.Demand
-	affordable := o.affordable()
+	affordable := o.quotaHeadroom()
 	rates, ahead := o.endsByImage(now), map[string]int{}
 	limits := o.leftOfLimits()
 	for _, js := range o.inOrder() {
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -81,9 +81,9 @@
 	o.touched(o.board.Apply(name, r, sent, time.Now()))
 	o.roomCame(r.Machines)
 	o.dirty = true
-	for at, ps := range o.quotas.ghosts {
+	for at, ps := range o.quotas.orphanedStarts {
 		if o.resolved(ps, name, a, r) {
-			delete(o.quotas.ghosts, at)
+			delete(o.quotas.orphanedStarts, at)
 		}
 	}
 	for id, js := range o.unclear {
@@ -110,7 +110,7 @@
 		if js := o.active[id]; js != nil {
 			js.stale = true
 		}
-		o.recount(id)
+		o.updateRunning(id)
 	}
 }
 
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -239,7 +239,7 @@
 	var lacks []int
 	same := true
 	for index := range js.job.Spec.Tasks {
-		if p, ok := o.permitted(js, index, &lacks); ok {
+		if p, ok := o.heldPermit(js, index, &lacks); ok {
 			same = same && (attempt == 0 || attempt == p.attempt)
 			attempt = p.attempt
 		}
@@ -252,7 +252,7 @@
 	for index := range all {
 		all[index] = index
 	}
-	o.want(js, all, o.newAttempt(), true, now)
+	o.wantPermits(js, all, o.newAttempt(), true, now)
 	return 0, false
 }
 
@@ -289,8 +289,8 @@
 			break
 		}
 		var lacks []int
-		if permit, ok := o.permitted(js, index, &lacks); !ok || permit != nil && permit.attempt != attempt {
-			o.want(js, []int{index}, attempt, false, now)
+		if permit, ok := o.heldPermit(js, index, &lacks); !ok || permit != nil && permit.attempt != attempt {
+			o.wantPermits(js, []int{index}, attempt, false, now)
 			continue
 		}
 		if c, ok := o.find(js, p, now); ok {
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -207,10 +207,10 @@
 		}
 		delete(o.active, id)
 		delete(o.unclear, id)
-		o.haunt(js)
+		o.keepOrphanedStarts(js)
 		js.pending, js.retryAt, js.badOn, js.permits = nil, nil, nil, nil
 	}
-	o.recount(id)
+	o.updateRunning(id)
 	o.dirty = true
 	if len(o.jobs) > maxFinal+len(o.active) {
 		o.evict()
@@ -245,9 +245,9 @@
 	touched := map[string]bool{}
 	o.board.Remove(id, touched)
 	o.touched(touched)
-	for at, ps := range o.quotas.ghosts {
+	for at, ps := range o.quotas.orphanedStarts {
 		if ps.machine == id {
-			delete(o.quotas.ghosts, at)
+			delete(o.quotas.orphanedStarts, at)
 		}
 	}
 	for _, js := range o.unclear {
@@ -352,7 +352,7 @@
 		}
 	}
 	if o.quotas.tree != nil {
-		o.yield(now, rq)
+		o.stopYielding(now, rq)
 		o.borrow(now)
 	}
 	for name, a := range rq {
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -190,7 +190,7 @@
 	var p *placement.Placing
 	hold := -1      // how many had better wait for room where the image is, -1 if not known yet
 	var lacks []int // tasks that need a permit
-	defer func() { o.want(js, lacks, 0, false, now) }()
+	defer func() { o.wantPermits(js, lacks, 0, false, now) }()
 	for index := range js.tasksLeft {
 		if looked >= 32 {
 			break
@@ -205,7 +205,7 @@
 			delete(js.retryAt, index)
 		}
 		looked++
-		permit, ok := o.permitted(js, index, &lacks)
+		permit, ok := o.heldPermit(js, index, &lacks)
 		if !ok {
 			continue
 		}
@@ -228,7 +228,7 @@
 			js.blocked = now.Add(holdFor)
 			return looked
 		}
-		o.start(js, index, o.attempt(permit), c, false, rq)
+		o.start(js, index, o.attemptNumber(permit), c, false, rq)
 		p.Zones[c.Machine.Zone]++
 		if js.opinion == placement.AtFault {
 			js.tried(now)
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -11,70 +11,71 @@
 	"daledyke/internal/quota"
 )
 
-// What an owner does with permits: it asks the authority of a team for them, uses them for starts and
-// gives back what others claim.
+// This file holds what an owner does with permits: it requests them from a team's authority, uses them to start
+// tasks, and stops tasks when the authority reclaims their quota.
 
-// account is what a job counts for, "" if no quotas divide its team's share.
+// account returns the account that a job's use counts for, or "" if its team has no quotas.
 func (o *Owner) account(js *jobState) string { return config.AccountOf(o.quotas.tree, js.job.Spec) }
 
-// permitted tells whether a task may be started, and as which attempt, as far as
-// quotas go; if not, a permit is wanted.
-func (o *Owner) permitted(js *jobState, index int, lacks *[]int) (*permit, bool) {
+// heldPermit reports whether quotas let a task start now, and returns the permit to start it by, or nil if
+// the team has no quotas. If a permit is missing, it adds the task's index to missing, up to
+// maxWantedPermits.
+func (o *Owner) heldPermit(js *jobState, index int, missing *[]int) (*permit, bool) {
 	if o.account(js) == "" {
 		return nil, true
 	}
 	if p := js.permits[index]; p != nil && p.term == o.session.Term() {
 		return p, true
 	}
-	if len(*lacks) < wantAtOnce {
-		*lacks = append(*lacks, index)
+	if len(*missing) < maxWantedPermits {
+		*missing = append(*missing, index)
 	}
 	return nil, false
 }
 
-// attempt is the number of an attempt that is about to be started: that of its
-// permit, or a new one.
-func (o *Owner) attempt(p *permit) uint64 {
+// attemptNumber returns the number of an attempt about to start: the permit's, or a new one without a permit.
+func (o *Owner) attemptNumber(p *permit) uint64 {
 	if p != nil {
 		return p.attempt
 	}
 	return o.newAttempt()
 }
 
-// want asks for permits for tasks of a job: attempts of their own, or together all
-// as one attempt.
-func (o *Owner) want(js *jobState, indexes []int, attempt uint64, together bool, now time.Time) {
+// wantPermits adds a want for permits for tasks of a job to the next request. If attempt is 0, each task gets
+// an attempt number of its own; otherwise all share it. together asks for all of them or none.
+func (o *Owner) wantPermits(js *jobState, indexes []int, attempt uint64, together bool, now time.Time) {
 	if len(indexes) == 0 || now.Before(js.wantAt) {
 		return
 	}
 	w := quota.Want{Job: js.job.Spec.ID, Together: together}
 	for _, index := range indexes {
-		n := attempt
-		if n == 0 {
-			n = o.newAttempt()
+		number := attempt
+		if number == 0 {
+			number = o.newAttempt()
 		}
-		w.Attempts = append(w.Attempts, quota.Attempt{Task: protocol.TaskName(w.Job, index), Number: n})
+		w.Attempts = append(w.Attempts, quota.Attempt{Task: protocol.TaskName(w.Job, index), Number: number})
 	}
-	b := o.borrowed(js.job.Spec.Team)
-	if !b.busy && len(b.wants) < 64 {
-		b.wants = append(b.wants, w)
+	request := o.teamRequest(js.job.Spec.Team)
+	if !request.inFlight && len(request.wants) < 64 {
+		request.wants = append(request.wants, w)
 	}
 }
 
-func (o *Owner) borrowed(team string) *borrowing {
-	b := o.quotas.borrowing[team]
-	if b == nil {
-		b = &borrowing{}
-		o.quotas.borrowing[team] = b
+// teamRequest returns the state of the requests to a team's authority.
+func (o *Owner) teamRequest(team string) *quotaRequest {
+	request := o.quotas.requestsByTeam[team]
+	if request == nil {
+		request = &quotaRequest{}
+		o.quotas.requestsByTeam[team] = request
 	}
-	return b
+	return request
 }
 
-// fedAll tells whether every slot's holder has answered this incarnation, and so
-// refuses what a former one asked.
-func (o *Owner) fedAll() bool {
-	for n := range o.slots {
-		b := o.board.Slots[n]
+// allHoldersAnswered reports whether the holder of every slot has answered this incarnation, and therefore
+// refuses requests of earlier ones.
+func (o *Owner) allHoldersAnswered() bool {
+	for slot := range o.slots {
+		b := o.board.Slots[slot]
 		if b == nil {
 			return false
 		}
@@ -85,51 +86,51 @@
 	return true
 }
 
-// borrow asks the authorities for what this round wants.
+// borrow drops permits that are no longer usable and sends this round's wants to the authorities.
 func (o *Owner) borrow(now time.Time) {
-	for id, js := range o.quotas.holding {
+	for id, js := range o.quotas.withPermits {
 		for index, p := range js.permits {
-			if !js.mine(index) || p.term != o.session.Term() || now.After(p.until) {
+			if !js.mine(index) || p.term != o.session.Term() || now.After(p.expires) {
 				delete(js.permits, index)
-				js.wantAt = now.Add(permitPause)
+				js.wantAt = now.Add(permitBackoff)
 			}
 		}
 		if len(js.permits) == 0 || o.active[id] != js {
-			delete(o.quotas.holding, id)
+			delete(o.quotas.withPermits, id)
 		}
 	}
 	for _, team := range o.quotas.tree.Teams() {
-		b := o.borrowed(team)
-		if b.busy || len(b.wants) == 0 && now.Sub(b.asked) < borrowEvery || !o.fedAll() {
-			if !b.busy {
-				b.wants = nil // they are wanted anew in the next round
+		pending := o.teamRequest(team)
+		if pending.inFlight || len(pending.wants) == 0 && now.Sub(pending.sentAt) < borrowInterval || !o.allHoldersAnswered() {
+			if !pending.inFlight {
+				pending.wants = nil // the next round makes the wants again
 			}
 			continue
 		}
-		r := quota.Request{Team: team, Caller: o.cfg.Name, Term: o.session.Term(), Wants: b.wants}
-		for id, js := range o.quotas.holding {
+		request := quota.Request{Team: team, Caller: o.cfg.Name, Term: o.session.Term(), Wants: pending.wants}
+		for id, js := range o.quotas.withPermits {
 			if js.job.Spec.Team == team {
 				for index, p := range js.permits {
-					r.Holding = append(r.Holding, quota.Attempt{Task: protocol.TaskName(id, index), Number: p.attempt})
+					request.Holding = append(request.Holding, quota.Attempt{Task: protocol.TaskName(id, index), Number: p.attempt})
 				}
 			}
 		}
 		for id, js := range o.unclear {
 			if js.job.Spec.Team == team {
 				for index, ps := range js.pending {
-					r.Holding = append(r.Holding, quota.Attempt{Task: protocol.TaskName(id, index), Number: ps.attempt})
+					request.Holding = append(request.Holding, quota.Attempt{Task: protocol.TaskName(id, index), Number: ps.attempt})
 				}
 			}
 		}
-		for at := range o.quotas.ghosts {
-			r.Holding = append(r.Holding, at)
+		for attempt := range o.quotas.orphanedStarts {
+			request.Holding = append(request.Holding, attempt)
 		}
 		name := o.window().Owner(protocol.RingToken(team))
-		b.wants, b.asked = nil, now
-		o.quotas.requests++
+		pending.wants, pending.sentAt = nil, now
+		o.quotas.requestCount++
 		if name == o.cfg.Name {
-			if reply, ok := o.lend(&r, now); ok {
-				o.granted(&r, &reply, now)
+			if reply, ok := o.lend(&request, now); ok {
+				o.applyReply(&request, &reply, now)
 			}
 			continue
 		}
@@ -137,67 +138,67 @@
 		if caller == nil {
 			continue
 		}
-		b.busy = true
+		pending.inFlight = true
 		go func() {
 			var reply quota.Reply
-			err := caller.Lend(o.ctx, r, &reply)
+			err := caller.Lend(o.ctx, request, &reply)
 			o.tell(func() {
-				b.busy = false
+				pending.inFlight = false
 				if err != nil {
-					slog.Debug("nothing lent", "authority", name, "team", team, "err", err)
+					slog.Debug("quota request failed", "authority", name, "team", team, "err", err)
 				} else {
-					o.granted(&r, &reply, time.Now())
+					o.applyReply(&request, &reply, time.Now())
 				}
 			})
 		}()
 	}
 }
 
-// granted takes in an authority's answer.
-func (o *Owner) granted(r *quota.Request, reply *quota.Reply, now time.Time) {
+// applyReply takes in an authority's reply.
+func (o *Owner) applyReply(r *quota.Request, reply *quota.Reply, now time.Time) {
 	if r.Term != o.session.Term() {
-		return // what it granted is not held, and so goes back
+		return // the next request does not list these permits as held, which returns them
 	}
-	got := make(map[quota.Attempt]bool, len(reply.Granted))
-	for _, at := range reply.Granted {
-		got[at] = true
+	granted := make(map[quota.Attempt]bool, len(reply.Granted))
+	for _, attempt := range reply.Granted {
+		granted[attempt] = true
 	}
-	for k, w := range r.Wants {
-		js := o.active[w.Job]
-		if js == nil || len(js.shares) == 0 || k >= len(reply.Binds) {
+	for n, want := range r.Wants {
+		js := o.active[want.Job]
+		if js == nil || len(js.shares) == 0 || n >= len(reply.Binds) {
 			continue
 		}
-		js.binds = reply.Binds[k]
+		js.binds = reply.Binds[n]
 		if js.binds != "" {
-			js.wantAt = now.Add(askAgain)
+			js.wantAt = now.Add(deniedBackoff)
 		}
-		for _, at := range w.Attempts {
-			_, index, ok := protocol.SplitTask(at.Task)
-			if !ok || !got[at] || js.pending[index] != nil || !js.mine(index) {
+		for _, attempt := range want.Attempts {
+			_, index, ok := protocol.SplitTask(attempt.Task)
+			if !ok || !granted[attempt] || js.pending[index] != nil || !js.mine(index) {
 				continue
 			}
 			if js.permits == nil {
 				js.permits = map[int]*permit{}
 			}
-			o.quotas.permits++
-			js.permits[index] = &permit{reply.Permit, at.Number, r.Term, now.Add(permitLife)}
-			o.quotas.holding[w.Job] = js
+			o.quotas.permitCount++
+			js.permits[index] = &permit{reply.Permit, attempt.Number, r.Term, now.Add(permitTTL)}
+			o.quotas.withPermits[want.Job] = js
 			js.blocked, js.stale, o.dirty = time.Time{}, true, true
 		}
 	}
 	for _, task := range reply.Yield {
 		job, index, _ := protocol.SplitTask(task)
-		if js := o.active[job]; js != nil && js.mine(index) && len(o.quotas.yields) < 10_000 {
-			o.quotas.yields[task] = true
+		if js := o.active[job]; js != nil && js.mine(index) && len(o.quotas.yielding) < 10_000 {
+			o.quotas.yielding[task] = true
 			o.dirty = true
 		}
 	}
 }
 
-// yield has tasks stop that authorities named, with time to save.
-func (o *Owner) yield(now time.Time, rq requests) {
-	for task := range o.quotas.yields {
-		delete(o.quotas.yields, task)
+// stopYielding stops the tasks that authorities named, with time to save their state.
+func (o *Owner) stopYielding(now time.Time, rq requests) {
+	for task := range o.quotas.yielding {
+		delete(o.quotas.yielding, task)
 		job, index, _ := protocol.SplitTask(task)
 		js := o.active[job]
 		if js == nil || !js.mine(index) {
@@ -218,20 +219,20 @@
 	}
 }
 
-// haunt keeps the starts under way of a job that is over: their permits count
-// until it is known what became of them.
-func (o *Owner) haunt(js *jobState) {
+// keepOrphanedStarts keeps the starts in flight of a job that ended. Their permits count as held until the
+// outcome of each start is known.
+func (o *Owner) keepOrphanedStarts(js *jobState) {
 	if o.account(js) == "" {
 		return
 	}
 	for index, ps := range js.pending {
-		o.quotas.ghosts[quota.Attempt{Task: protocol.TaskName(js.job.Spec.ID, index), Number: ps.attempt}] = ps
+		o.quotas.orphanedStarts[quota.Attempt{Task: protocol.TaskName(js.job.Spec.ID, index), Number: ps.attempt}] = ps
 	}
 }
 
-// binds is the account whose limit lets no more of a job start: as its authority
-// said, or, for other owners' jobs, as far as the board shows.
-func (o *Owner) binds(js *jobState, now time.Time) string {
+// limitingAccount returns the account whose limit prevents more of a job from starting, or "". For this
+// owner's jobs it is what the authority said; for other owners' jobs it is derived from the board.
+func (o *Owner) limitingAccount(js *jobState, now time.Time) string {
 	if len(js.shares) > 0 || js.job.Final() || o.account(js) == "" {
 		return js.binds
 	}
@@ -239,44 +240,45 @@
 	if js.job.Spec.Shape == protocol.Gang {
 		need = need.Scale(float64(js.job.Spec.Tasks))
 	}
-	binds, _ := o.used(now).Admits(&quota.Claim{Account: o.account(js), Need: need, Rank: js.job.Rank})
-	return binds
+	limitedBy, _ := o.quotaUsage(now).Admits(&quota.Claim{Account: o.account(js), Need: need, Rank: js.job.Rank})
+	return limitedBy
 }
 
-// affordable is how many tasks more of each job quotas would let start beside what
-// runs: no more are rented for.
-func (o *Owner) affordable() map[string]int {
+// quotaHeadroom returns, for each waiting job, how many more tasks its quotas would let start beside what
+// runs. Machines are rented for no more than these.
+func (o *Owner) quotaHeadroom() map[string]int {
 	if o.quotas.tree == nil {
 		return nil
 	}
-	l := o.sumUp()
+	ledger := o.sumUsage()
 	var waiting []*jobState
 	for id, js := range o.active {
-		if live, _ := o.placed(id); o.account(js) != "" && live < js.job.Spec.Tasks-js.job.DoneCount() && js.job.Waits == 0 {
+		if placed, _ := o.placed(id); o.account(js) != "" && placed < js.job.Spec.Tasks-js.job.DoneCount() && js.job.Waits == 0 {
 			waiting = append(waiting, js)
 		}
 	}
 	slices.SortFunc(waiting, func(a, b *jobState) int {
 		return cmp.Or(cmp.Compare(b.job.Rank, a.job.Rank), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 	})
-	out := make(map[string]int, len(waiting))
+	headroom := make(map[string]int, len(waiting))
 	for _, js := range waiting {
-		c := &quota.Claim{Account: o.account(js), Need: js.job.Spec.Need(), Rank: js.job.Rank}
+		claim := &quota.Claim{Account: o.account(js), Need: js.job.Spec.Need(), Rank: js.job.Rank}
 		n := 0
 		for n < js.job.Spec.Tasks {
-			if _, ok := l.Admits(c); !ok {
+			if _, ok := ledger.Admits(claim); !ok {
 				break
 			}
-			l.Use(c.Account, c.Need)
+			ledger.AddUse(claim.Account, claim.Need)
 			n++
 		}
-		out[js.job.Spec.ID] = n
+		headroom[js.job.Spec.ID] = n
 	}
-	return out
+	return headroom
 }
 
-// used takes the permit of a task that is being started, if it has one.
-func (js *jobState) used(index int) (p permit) {
+// takePermit removes and returns the permit of a task that is being started; it returns a zero permit if it
+// has none.
+func (js *jobState) takePermit(index int) (p permit) {
 	if held := js.permits[index]; held != nil {
 		p = *held
 		delete(js.permits, index)
@@ -284,18 +286,18 @@
 	return p
 }
 
-// borrowing is what an owner has under way with an authority.
-type borrowing struct {
-	wants []quota.Want
-	busy  bool
-	asked time.Time
+// quotaRequest is the state of an owner's requests to one team's authority.
+type quotaRequest struct {
+	wants    []quota.Want
+	inFlight bool
+	sentAt   time.Time
 }
 
 // permit is a permit that is not used yet.
 type permit struct {
 	quota.Permit
 	attempt uint64
-	// term is this controller's incarnation that asked for it.
-	term  uint64
-	until time.Time
+	// term is the incarnation of this controller that asked for it.
+	term    uint64
+	expires time.Time
 }
--- a/internal/coordination/quota_view.go
+++ b/internal/coordination/quota_view.go
@@ -13,168 +13,166 @@
 	"daledyke/internal/quota"
 )
 
-// What operators see of nested quotas, and how they change them.
+// This file holds the operators' view of nested quotas, and their changes to them.
 
-// used is what the board shows of all accounts' use; it is worked out once a second
-// and serves all who ask.
-func (o *Owner) used(now time.Time) *quota.Ledger {
+// quotaUsage returns the use of all accounts by the board. It is computed at most once a second.
+func (o *Owner) quotaUsage(now time.Time) *quota.Ledger {
 	q := &o.quotas
-	if q.uses != nil && now.Sub(q.usesAt) < time.Second && q.uses.Tree() == q.tree {
-		return q.uses
+	if q.usage != nil && now.Sub(q.usageAt) < time.Second && q.usage.Tree() == q.tree {
+		return q.usage
 	}
-	q.uses, q.usesAt = o.sumUp(), now
-	return q.uses
+	q.usage, q.usageAt = o.sumUsage(), now
+	return q.usage
 }
 
-// sumUp gives a ledger of what the board shows.
-func (o *Owner) sumUp() *quota.Ledger {
-	l := quota.NewLedger(o.quotas.tree)
+// sumUsage computes a ledger of the use that the board shows.
+func (o *Owner) sumUsage() *quota.Ledger {
+	ledger := quota.NewLedger(o.quotas.tree)
 	for id := range o.board.Tasks {
 		if js := o.jobs[id]; js != nil {
 			if account := o.account(js); account != "" {
-				live, _ := o.placed(id)
-				l.Use(account, js.job.Spec.Need().Scale(float64(live)))
+				placed, _ := o.placed(id)
+				ledger.AddUse(account, js.job.Spec.Need().Scale(float64(placed)))
 			}
 		}
 	}
-	return l
+	return ledger
 }
 
-// quotaView shows the accounts, at most so many: those that use most, in the order
-// of their names.
-func (o *Owner) quotaView(most int) *protocol.QuotaView {
-	t, record := o.quotas.tree, &o.quotas.record
-	v := &protocol.QuotaView{Requests: o.quotas.requests, Granted: o.quotas.permits, Revision: record.Revision, By: record.By, Why: record.Why, Authorities: map[string]string{}}
+// quotaView returns at most the given number of accounts, those with the highest use, sorted by name.
+func (o *Owner) quotaView(maxAccounts int) *protocol.QuotaView {
+	tree, record := o.quotas.tree, &o.quotas.record
+	shown := &protocol.QuotaView{Requests: o.quotas.requestCount, Granted: o.quotas.permitCount, Revision: record.Revision, By: record.By, Why: record.Why, Authorities: map[string]string{}}
 	if record.AtMs > 0 {
-		v.At = time.UnixMilli(record.AtMs).UTC().Format(time.RFC3339)
+		shown.At = time.UnixMilli(record.AtMs).UTC().Format(time.RFC3339)
 	}
-	if w := o.window(); w != nil {
-		for _, team := range t.Teams() {
-			v.Authorities[team] = w.Owner(protocol.RingToken(team))
+	if window := o.window(); window != nil {
+		for _, team := range tree.Teams() {
+			shown.Authorities[team] = window.Owner(protocol.RingToken(team))
 		}
 	}
 	for _, a := range o.quotas.authorities {
-		v.Permits += a.Lent()
-		v.Over = append(v.Over, a.Over()...)
+		shown.Permits += a.OutstandingPermits()
+		shown.Over = append(shown.Over, a.OverLimit()...)
 	}
-	l := o.used(time.Now())
+	ledger := o.quotaUsage(time.Now())
 	waiting := map[string]int{}
 	for _, js := range o.active {
 		if js.binds != "" {
 			waiting[js.binds]++
 		}
 	}
-	accounts := t.Accounts()
-	if len(accounts) > most {
+	accounts := tree.Accounts()
+	if len(accounts) > maxAccounts {
 		slices.SortStableFunc(accounts, func(a, b quota.Account) int {
-			return cmp.Or(cmp.Compare(l.Used(b.Name).Accels, l.Used(a.Name).Accels), cmp.Compare(l.Used(b.Name).Cores, l.Used(a.Name).Cores))
+			return cmp.Or(cmp.Compare(ledger.Used(b.Name).Accels, ledger.Used(a.Name).Accels), cmp.Compare(ledger.Used(b.Name).Cores, ledger.Used(a.Name).Cores))
 		})
-		accounts = accounts[:most]
+		accounts = accounts[:maxAccounts]
 		slices.SortFunc(accounts, func(a, b quota.Account) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	for _, a := range accounts {
-		used := l.Used(a.Name)
-		v.Accounts = append(v.Accounts, protocol.QuotaAccount{Name: a.Name, Guarantee: a.Guarantee, Limit: a.Limit, Weight: a.Weight,
-			Used: used, Borrowed: quota.Beyond(used, a.Guarantee), Lent: quota.Beyond(a.Guarantee, used), Waiting: waiting[a.Name]})
+		used := ledger.Used(a.Name)
+		shown.Accounts = append(shown.Accounts, protocol.QuotaAccount{Name: a.Name, Guarantee: a.Guarantee, Limit: a.Limit, Weight: a.Weight,
+			Used: used, Borrowed: quota.Excess(used, a.Guarantee), Lent: quota.Excess(a.Guarantee, used), Waiting: waiting[a.Name]})
 	}
-	return v
+	return shown
 }
 
-// mostShown bounds the accounts that the overview and metrics show.
-const mostShown = 50
+// maxShownAccounts bounds the accounts in the overview and the metrics.
+const maxShownAccounts = 50
 
-// showQuotas is the view for operators.
-func (k *Controller) showQuotas(ctx context.Context, most int) (*protocol.QuotaView, error) {
+// showQuotas returns the accounts for operators.
+func (k *Controller) showQuotas(ctx context.Context, maxAccounts int) (*protocol.QuotaView, error) {
 	if k.quotas.Load() == nil {
 		return nil, errNoQuotas
 	}
-	v, ok := view(ctx, &k.owner.actor, func() *protocol.QuotaView { return k.owner.quotaView(most) })
+	shown, ok := view(ctx, &k.owner.actor, func() *protocol.QuotaView { return k.owner.quotaView(maxAccounts) })
 	if !ok {
 		return nil, ErrLater
 	}
-	return v, nil
+	return shown, nil
 }
 
-// changeQuotas changes accounts, all that is asked or nothing.
-func (k *Controller) changeQuotas(ctx context.Context, c *quota.Change) (out quota.Outcome, err error) {
+// changeQuotas applies a change of accounts by operators, as a whole or not at all.
+func (k *Controller) changeQuotas(ctx context.Context, c *quota.Change) (outcome quota.Outcome, err error) {
 	set := k.quotas.Load()
 	if set == nil {
-		return out, errNoQuotas
+		return outcome, errNoQuotas
 	}
-	seen, err := k.store.Quotas(ctx)
+	stored, err := k.store.Quotas(ctx)
 	if err != nil {
-		return out, fmt.Errorf("the quotas can't be read now, nothing was changed: %w", err)
+		return outcome, fmt.Errorf("the quotas can't be read now, nothing was changed: %w", err)
 	}
 	current, record := set.tree, bookkeeping.Quotas{}
-	known := func(name string) bool { return k.cfg.Team(name) != nil }
-	if seen != nil {
-		record = *seen
-		if current, err = quota.NewTree(seen.Accounts, known); err != nil {
-			return out, err
+	knownTeam := func(name string) bool { return k.cfg.Team(name) != nil }
+	if stored != nil {
+		record = *stored
+		if current, err = quota.NewTree(stored.Accounts, knownTeam); err != nil {
+			return outcome, err
 		}
 	} else if set.record.Revision > 0 {
-		return out, errors.New("the record of the quotas is gone, nothing was changed")
+		return outcome, errors.New("the record of the quotas is gone, nothing was changed")
 	}
-	out.Revision = record.Revision
+	outcome.Revision = record.Revision
 	if c.Revision != record.Revision {
-		out.Refused = fmt.Sprintf("they were changed meanwhile: revision %d by %s at %s (%s), not %d", record.Revision, cmp.Or(record.By, "nobody named"),
+		outcome.Refused = fmt.Sprintf("they were changed meanwhile: revision %d by %s at %s (%s), not %d", record.Revision, cmp.Or(record.By, "nobody named"),
 			time.UnixMilli(record.AtMs).UTC().Format(time.RFC3339), cmp.Or(record.Why, "no reason given"), c.Revision)
-		return out, nil
+		return outcome, nil
 	}
-	next, err := current.With(c.Set, c.Drop, known)
+	next, err := current.With(c.Set, c.Drop, knownTeam)
 	if err != nil {
-		out.Refused = err.Error()
-		return out, nil
+		outcome.Refused = err.Error()
+		return outcome, nil
 	}
 	plan, ok := view(ctx, &k.owner.actor, func() (p quota.Plan) {
-		var work []quota.Work
+		var work []quota.Workload
 		for _, team := range next.Teams() {
-			work = append(work, k.owner.running(team, time.Now())...)
+			work = append(work, k.owner.runningWorkloads(team, time.Now())...)
 		}
 		return quota.Shrink(next, work)
 	})
 	if !ok {
-		return out, ErrLater
+		return outcome, ErrLater
 	}
-	out.Shrinks, out.Over = plan.Shrinks(), plan.Over
+	outcome.Shrinks, outcome.Over = plan.ByAccount(), plan.OverLimit
 	if c.DryRun {
-		return out, nil
+		return outcome, nil
 	}
-	err = k.store.SaveQuotas(ctx, seen, bookkeeping.Quotas{By: c.By, Why: c.Why, AtMs: time.Now().UnixMilli(), Accounts: next.Accounts()})
+	err = k.store.SaveQuotas(ctx, stored, bookkeeping.Quotas{By: c.By, Why: c.Why, AtMs: time.Now().UnixMilli(), Accounts: next.Accounts()})
 	switch {
 	case errors.Is(err, bookkeeping.ErrConflict):
-		out.Refused = "somebody else changed them at the same moment; look at them again"
-		return out, nil
+		outcome.Refused = "somebody else changed them at the same moment; look at them again"
+		return outcome, nil
 	case err != nil:
-		return out, fmt.Errorf("it is not known whether the change was recorded, look at the revision: %w", err)
+		return outcome, fmt.Errorf("it is not known whether the change was recorded, look at the revision: %w", err)
 	}
-	out.Revision++
-	return out, nil
+	outcome.Revision++
+	return outcome, nil
 }
 
-// ShowArgs ask for the accounts.
+// ShowArgs are the arguments of QuotaRPC.Show.
 type ShowArgs struct{}
 
-// Show shows operators the accounts.
-func (q QuotaRPC) Show(_ ShowArgs, v *protocol.QuotaView) error {
-	ctx, cancel := context.WithTimeout(q.k.owner.ctx, lendWithin)
+// Show returns the accounts to operators.
+func (q QuotaRPC) Show(_ ShowArgs, reply *protocol.QuotaView) error {
+	ctx, cancel := context.WithTimeout(q.controller.owner.ctx, lendTimeout)
 	defer cancel()
-	got, err := q.k.showQuotas(ctx, quota.MaxAccounts)
+	shown, err := q.controller.showQuotas(ctx, quota.MaxAccounts)
 	if err == nil {
-		*v = *got
+		*reply = *shown
 	}
 	return err
 }
 
 // Change changes accounts for operators.
-func (q QuotaRPC) Change(c quota.Change, out *quota.Outcome) (err error) {
-	ctx, cancel := context.WithTimeout(q.k.owner.ctx, changeWithin)
+func (q QuotaRPC) Change(c quota.Change, outcome *quota.Outcome) (err error) {
+	ctx, cancel := context.WithTimeout(q.controller.owner.ctx, changeTimeout)
 	defer cancel()
-	*out, err = q.k.changeQuotas(ctx, &c)
+	*outcome, err = q.controller.changeQuotas(ctx, &c)
 	return err
 }
 
-// changeWithin bounds a change: some requests to the state service.
-const changeWithin = 20 * time.Second
+// changeTimeout bounds a change, which takes several requests to the state service.
+const changeTimeout = 20 * time.Second
 
 var errNoQuotas = errors.New("quotas are not switched on: the operators' settings have no (quotas ...)")
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -12,51 +12,51 @@
 	"daledyke/internal/transport"
 )
 
-// Nested quotas (docs/design-quotas.md): the authority of a team's tree, which lends
-// permits, and the owners who borrow them.
+// This file implements nested quotas (docs/design-quotas.md): for each team with quotas, one controller is the
+// authority of the team's tree and lends permits to the owners, who borrow them.
 
-// quotas is what an owner has to do with quotas, as borrower and as authority. It
-// belongs to the owner actor.
+// quotas is the owner's state for nested quotas, both as borrower and as authority. Only the owner actor uses
+// it.
 type quotas struct {
 	tree *quota.Tree
-	// record is what the tree was set by at run time, of revision 0 if it was not.
+	// record is the stored change that set the tree at run time; its revision is 0 if there was none.
 	record bookkeeping.Quotas
-	// callers reach the authorities.
+	// callers reach the authorities by controller name.
 	callers map[string]LendCaller
-	// authorities are those of the teams whose place on the ring is ours.
+	// authorities holds, by team, the authorities that this controller is.
 	authorities map[string]*quota.Authority
-	// strange are jobs with tasks on machines that nothing is known of.
-	strange map[string]bool
+	// unknownJobs are jobs that have tasks on machines but of which this controller has no record.
+	unknownJobs map[string]bool
 
-	// borrowing is what is under way with the authority of a team.
-	borrowing map[string]*borrowing
-	// holding are jobs with permits that are not used yet.
-	holding map[string]*jobState
-	// ghosts are starts under way of jobs that are over meanwhile.
-	ghosts map[quota.Attempt]*pendingStart
-	// yields are tasks that have to stop.
-	yields map[string]bool
-	// uses is what the board shows of all accounts' use, as it was at usesAt.
-	uses   *quota.Ledger
-	usesAt time.Time
-	// requests and permits are how many were made and granted so far.
-	requests, permits int64
+	// requestsByTeam holds the request to each team's authority that is in flight or being put together.
+	requestsByTeam map[string]*quotaRequest
+	// withPermits are the jobs that hold unused permits.
+	withPermits map[string]*jobState
+	// orphanedStarts are starts in flight whose job has ended since.
+	orphanedStarts map[quota.Attempt]*pendingStart
+	// yielding are the tasks that authorities told to stop.
+	yielding map[string]bool
+	// usage is the use of all accounts by the board, as of usageAt.
+	usage   *quota.Ledger
+	usageAt time.Time
+	// requestCount and permitCount count the requests made and the permits granted so far.
+	requestCount, permitCount int64
 }
 
 const (
-	// permitLife is for how long a permit is kept that finds no machine, and
-	// permitPause for how long none is asked for again after that.
-	permitLife  = 3 * time.Second
-	permitPause = 2 * time.Second
-	// askAgain is how often something is asked for that was not granted.
-	askAgain = 500 * time.Millisecond
-	// borrowEvery is how often an authority is asked when nothing is wanted: what
-	// is no longer held goes back, and what has to stop is heard of.
-	borrowEvery = time.Second
-	// lendWithin bounds a request.
-	lendWithin = 2 * time.Second
-	// wantAtOnce bounds the permits that one job asks for at a time.
-	wantAtOnce = 32
+	// permitTTL is how long a permit is kept for which no machine is found, and permitBackoff is the pause
+	// before the job asks for permits again.
+	permitTTL     = 3 * time.Second
+	permitBackoff = 2 * time.Second
+	// deniedBackoff is the pause before a denied want is made again.
+	deniedBackoff = 500 * time.Millisecond
+	// borrowInterval is the time between requests to an authority when nothing is wanted. Such a request
+	// returns permits that are no longer held, and its reply names tasks that have to stop.
+	borrowInterval = time.Second
+	// lendTimeout bounds a request to an authority.
+	lendTimeout = 2 * time.Second
+	// maxWantedPermits bounds the permits that one job asks for at a time.
+	maxWantedPermits = 32
 )
 
 // LendCaller reaches the authority of a team's quotas.
@@ -64,23 +64,23 @@
 	Lend(ctx context.Context, r quota.Request, reply *quota.Reply) error
 }
 
-// lendName is the name that authorities are served under.
-const lendName = "Quota"
+// quotaServiceName is the net/rpc service name of QuotaRPC.
+const quotaServiceName = "Quota"
 
 // lendPeer reaches an authority over net/rpc.
 type lendPeer struct{ *transport.Peer }
 
 func (p lendPeer) Lend(ctx context.Context, r quota.Request, reply *quota.Reply) error {
-	return p.Call(ctx, lendWithin, lendName+".Lend", r, reply)
+	return p.Call(ctx, lendTimeout, quotaServiceName+".Lend", r, reply)
 }
 
-// QuotaRPC serves the authority to siblings, and accounts to operators.
-type QuotaRPC struct{ k *Controller }
+// QuotaRPC serves the authority to sibling controllers, and the accounts to operators.
+type QuotaRPC struct{ controller *Controller }
 
-// Lend answers an owner, or says that this controller is not the authority now.
+// Lend answers an owner's request, or returns errNotNow if this controller is not the team's authority now.
 func (q QuotaRPC) Lend(r quota.Request, reply *quota.Reply) error {
-	o := q.k.owner
-	ctx, cancel := context.WithTimeout(o.ctx, lendWithin)
+	o := q.controller.owner
+	ctx, cancel := context.WithTimeout(o.ctx, lendTimeout)
 	defer cancel()
 	type answer struct {
 		quota.Reply
@@ -98,19 +98,19 @@
 }
 
 func newQuotas(t *quota.Tree, callers map[string]LendCaller) quotas {
-	return quotas{tree: t, callers: callers, authorities: map[string]*quota.Authority{}, strange: map[string]bool{}, borrowing: map[string]*borrowing{},
-		holding: map[string]*jobState{}, ghosts: map[quota.Attempt]*pendingStart{}, yields: map[string]bool{}}
+	return quotas{tree: t, callers: callers, authorities: map[string]*quota.Authority{}, unknownJobs: map[string]bool{}, requestsByTeam: map[string]*quotaRequest{},
+		withPermits: map[string]*jobState{}, orphanedStarts: map[quota.Attempt]*pendingStart{}, yielding: map[string]bool{}}
 }
 
-// authority is that of a team, if it is this controller's to be and it knows all
-// that may be running; else nil.
+// authority returns the authority of a team, or nil if this controller is not the authority or does not know
+// yet of every task that may be running.
 func (o *Owner) authority(team string) *quota.Authority {
 	gain := o.gainOf(protocol.RingToken(team))
-	if gain == 0 || !o.quotas.tree.Has(team) {
+	if gain == 0 || !o.quotas.tree.HasTeam(team) {
 		delete(o.quotas.authorities, team)
 		return nil
 	}
-	if o.bornBy(gain) == 0 || len(o.quotas.strange) > 0 || !o.session.Valid() {
+	if o.bornBy(gain) == 0 || len(o.quotas.unknownJobs) > 0 || !o.session.Valid() {
 		return nil
 	}
 	a := o.quotas.authorities[team]
@@ -119,7 +119,7 @@
 		o.quotas.authorities[team] = a
 		for id := range o.board.Tasks {
 			if js := o.jobs[id]; js != nil && js.job.Spec.Team == team {
-				o.count(a, js)
+				o.setRunning(a, js)
 			}
 		}
 		slog.Info("authority of quotas", "team", team, "window", gain)
@@ -127,61 +127,61 @@
 	return a
 }
 
-// quotaJob is what an authority has to know of a job.
+// quotaJob describes a job to an authority.
 func (o *Owner) quotaJob(js *jobState) quota.Job {
 	return quota.Job{Account: config.AccountOf(o.quotas.tree, js.job.Spec), Need: js.job.Spec.Need(), Rank: js.job.Rank}
 }
 
-// count has an authority book what the board shows of a job.
-func (o *Owner) count(a *quota.Authority, js *jobState) {
-	var there []quota.Attempt
-	for _, list := range o.board.Tasks[js.job.Spec.ID] {
-		for _, i := range list {
+// setRunning passes to an authority the attempts of a job that the board shows on machines.
+func (o *Owner) setRunning(a *quota.Authority, js *jobState) {
+	var attempts []quota.Attempt
+	for _, instances := range o.board.Tasks[js.job.Spec.ID] {
+		for _, i := range instances {
 			if !i.Exited() {
-				there = append(there, quota.Attempt{Task: i.Task, Number: i.Attempt})
+				attempts = append(attempts, quota.Attempt{Task: i.Task, Number: i.Attempt})
 			}
 		}
 	}
-	a.Count(js.job.Spec.ID, o.quotaJob(js), there)
+	a.SetRunning(js.job.Spec.ID, o.quotaJob(js), attempts)
 }
 
-// recount takes in that the board shows something new of a job.
-func (o *Owner) recount(id string) {
+// updateRunning updates the quota state after the board or the record of a job changed.
+func (o *Owner) updateRunning(id string) {
 	if o.quotas.tree == nil {
 		return
 	}
 	js := o.jobs[id]
 	if js == nil {
 		if len(o.board.Tasks[id]) > 0 {
-			o.quotas.strange[id] = true
+			o.quotas.unknownJobs[id] = true
 		} else {
-			delete(o.quotas.strange, id)
+			delete(o.quotas.unknownJobs, id)
 		}
 		return
 	}
-	delete(o.quotas.strange, id)
+	delete(o.quotas.unknownJobs, id)
 	if a := o.quotas.authorities[js.job.Spec.Team]; a != nil {
-		o.count(a, js)
+		o.setRunning(a, js)
 	}
 }
 
-// seen is how far the board goes.
-func (o *Owner) seen() quota.Seen {
-	present := o.presentSince()
-	s := quota.Seen{Present: present, Obeyed: o.board.AllComplete(o.slots, present)}
+// boardFreshness describes how recent the board is.
+func (o *Owner) boardFreshness() quota.Freshness {
+	ownersSince := o.presentSince()
+	freshness := quota.Freshness{OwnersSince: ownersSince, Adopted: o.board.AllComplete(o.slots, ownersSince)}
 	for n := range o.slots {
 		b := o.board.Slots[n]
 		if b == nil || !b.Complete {
-			return quota.Seen{Present: present}
+			return quota.Freshness{OwnersSince: ownersSince}
 		}
-		if n == 0 || b.Asked.Before(s.Asked) {
-			s.Asked = b.Asked
+		if n == 0 || b.Asked.Before(freshness.RequestedAt) {
+			freshness.RequestedAt = b.Asked
 		}
 	}
-	return s
+	return freshness
 }
 
-// lend answers a request, false if it is not for this controller now.
+// lend answers a request; it returns false if this controller is not the team's authority now.
 func (o *Owner) lend(r *quota.Request, now time.Time) (quota.Reply, bool) {
 	a := o.authority(r.Team)
 	if a == nil {
@@ -190,71 +190,71 @@
 	if a.Ledger().Tree() != o.quotas.tree {
 		a.SetTree(o.quotas.tree)
 	}
-	over := len(a.Over())
-	reply := a.Lend(r, quota.Permit{Authority: o.cfg.Name, Term: o.session.Term(), Window: o.window().Number}, o.seen(),
+	before := len(a.OverLimit())
+	reply := a.Lend(r, quota.Permit{Authority: o.cfg.Name, Term: o.session.Term(), Window: o.window().Number}, o.boardFreshness(),
 		func(id string) (quota.Job, bool) {
 			js := o.active[id]
 			if js == nil || js.job.Spec.Team != r.Team {
 				return quota.Job{}, false
 			}
 			return o.quotaJob(js), true
-		}, func() []quota.Work { return o.running(r.Team, now) }, now)
-	if len(a.Over()) > 0 && over == 0 {
-		slog.Warn("live services alone use more than their quota: nothing is stopped, nothing more starts", "accounts", a.Over())
+		}, func() []quota.Workload { return o.runningWorkloads(r.Team, now) }, now)
+	if len(a.OverLimit()) > 0 && before == 0 {
+		slog.Warn("live services alone use more than their quota: nothing is stopped, nothing more starts", "accounts", a.OverLimit())
 	}
 	return reply, true
 }
 
-// running is what runs of a team's jobs; gangs stop as a whole.
-func (o *Owner) running(team string, now time.Time) (out []quota.Work) {
+// runningWorkloads returns what runs of a team's jobs. A gang is one workload, because it stops as a whole.
+func (o *Owner) runningWorkloads(team string, now time.Time) (workloads []quota.Workload) {
 	for id, tasks := range o.board.Tasks {
 		js := o.jobs[id]
 		if js == nil || js.job.Spec.Team != team {
 			continue
 		}
 		s, j := js.job.Spec, o.quotaJob(js)
-		whole := s.Shape == protocol.Gang && s.Tasks > 1
-		w := quota.Work{Account: j.Account, Rank: j.Rank, Live: s.Shape == protocol.Service}
-		for _, list := range tasks {
-			for _, i := range list {
+		isGang := s.Shape == protocol.Gang && s.Tasks > 1
+		w := quota.Workload{Account: j.Account, Rank: j.Rank, Service: s.Shape == protocol.Service}
+		for _, instances := range tasks {
+			for _, i := range instances {
 				if i.Exited() {
 					continue
 				}
-				loss := 0.0
+				cost := 0.0
 				if !s.Saves() {
-					loss = now.Sub(i.Since).Seconds()
+					cost = now.Sub(i.Since).Seconds()
 				}
-				if whole {
-					w.ID, w.Need, w.Loss = i.Task, w.Need.Add(j.Need), w.Loss+loss
+				if isGang {
+					w.ID, w.Need, w.StopCost = i.Task, w.Need.Add(j.Need), w.StopCost+cost
 					continue
 				}
-				w.ID, w.Need, w.Loss = i.Task, j.Need, loss
-				out = append(out, w)
+				w.ID, w.Need, w.StopCost = i.Task, j.Need, cost
+				workloads = append(workloads, w)
 			}
 		}
-		if whole && w.ID != "" {
+		if isGang && w.ID != "" {
 			w.ID = protocol.TaskName(id, 0)
-			out = append(out, w)
+			workloads = append(workloads, w)
 		}
 	}
-	return out
+	return workloads
 }
 
-// permits tells whether a permit is of the present authority of a team, as far as
-// this holder's window and fences go.
-func (h *Holder) permits(p quota.Permit, team string) bool {
+// acceptsPermit reports whether a permit is from the team's present authority, by this holder's window and
+// fences.
+func (h *Holder) acceptsPermit(p quota.Permit, team string) bool {
 	return p.Authority != "" && p.Authority == h.window.Owner(protocol.RingToken(team)) && p.Window >= h.ownersSince &&
 		p.Term >= h.fences[p.Authority].Term()
 }
 
-// QuotasChanged implements bookkeeping.Listener: operators set accounts at run time.
+// QuotasChanged implements bookkeeping.Listener. It is called when operators set accounts at run time.
 func (k *Controller) QuotasChanged(q *bookkeeping.Quotas) {
 	if k.cfg.Quotas == nil {
-		return // the settings don't switch quotas on
+		return // the settings have no quotas
 	}
 	t, err := quota.NewTree(q.Accounts, func(name string) bool { return k.cfg.Team(name) != nil })
 	if err != nil {
-		slog.Error("quotas that can't be are passed over", "revision", q.Revision, "err", err)
+		slog.Error("invalid quotas ignored", "revision", q.Revision, "err", err)
 		return
 	}
 	slog.Info("quotas", "revision", q.Revision, "by", q.By, "why", q.Why, "accounts", len(q.Accounts))
@@ -263,7 +263,7 @@
 	k.owner.tell(func() { k.owner.quotas.tree, k.owner.quotas.record, k.owner.dirty = t, *q, true })
 }
 
-// quotaSet is a tree, and the record that it is from; revision 0 if it is from the
+// quotaSet is a tree and the record that it was made from; the record's revision is 0 if the tree is from the
 // settings.
 type quotaSet struct {
 	tree   *quota.Tree
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -56,7 +56,7 @@
 		"cached", slices.Contains(m.Images, js.job.Spec.Image), "waited", time.Since(js.job.Ready))
 	a := o.to(rq, m)
 	a.Starts = append(a.Starts, Start{Task: protocol.TaskName(js.job.Spec.ID, index), Attempt: attempt, Machine: m.ID, Term: m.Term, Evict: c.Evict, Reserve: reserve,
-		Permit: js.used(index).Permit})
+		Permit: js.takePermit(index).Permit})
 	ps := &pendingStart{attempt: attempt, machine: m.ID, holder: m.Holder, inc: o.peers[m.Holder].incarnation, slot: m.Slot, term: m.Term,
 		need: js.job.Spec.Need()}
 	js.pending[index] = ps
@@ -107,10 +107,10 @@
 		job, index, _ := protocol.SplitTask(st.Task)
 		js := o.active[job]
 		ghost := quota.Attempt{Task: st.Task, Number: st.Attempt}
-		if o.quotas.ghosts[ghost] == mine[k] {
+		if o.quotas.orphanedStarts[ghost] == mine[k] {
 			// Its job is over; what became of the start still counts for quotas.
 			if refused || err == nil && k < len(r.Refused) && r.Refused[k] != "" {
-				delete(o.quotas.ghosts, ghost)
+				delete(o.quotas.orphanedStarts, ghost)
 			} else if mine[k].unknown = err != nil; err == nil {
 				mine[k].acked, mine[k].ackInc, mine[k].version = true, r.Incarnation, r.Version
 			}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -213,19 +213,19 @@
 // judgeAccount says why a job with so many tasks at once can never run in its
 // account, if so.
 func judgeAccount(t *quota.Tree, s *protocol.JobSpec, n float64) error {
-	if s.Account == "" && !t.Has(s.Team) {
+	if s.Account == "" && !t.HasTeam(s.Team) {
 		return nil
 	}
 	account, known := t.Find(cmp.Or(s.Account, s.Team))
 	switch {
-	case !t.Has(s.Team):
+	case !t.HasTeam(s.Team):
 		return fmt.Errorf("crew %s has no accounts", s.Team)
 	case !known:
 		return fmt.Errorf("unknown account %q", s.Account)
 	case account.Team() != s.Team:
 		return fmt.Errorf("account %q is not one of crew %s", s.Account, s.Team)
 	}
-	if binds, never := t.Never(account.Name, s.Need().Scale(n)); never {
+	if binds, never := t.NeverFits(account.Name, s.Need().Scale(n)); never {
 		return fmt.Errorf("the job needs more than account %q may use", binds)
 	}
 	return nil
--- a/internal/coordination/why.go
+++ b/internal/coordination/why.go
@@ -60,7 +60,7 @@
 	s := js.job.Spec
 	w := placement.Wait{Final: js.job.Final(), Held: js.job.Held, Until: js.job.From().Sub(now), Needs: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
 		Missing: s.Tasks - js.job.DoneCount(), Incomplete: !o.board.AllComplete(o.slots, 0), Asked: len(js.pending) > 0,
-		Quota:   o.binds(js, now),
+		Quota:   o.limitingAccount(js, now),
 		Limited: func() bool { return js.gain != 0 && !o.teamRoom(js, 1) },
 		Coming:  func() (time.Duration, bool) { return o.coming(s, now) },
 		Age:     now.Sub(js.job.Ready),
@@ -150,7 +150,7 @@
 	}
 	v.Fleet = o.fleetCounts(now)
 	if o.quotas.tree != nil {
-		v.Quotas = o.quotaView(mostShown)
+		v.Quotas = o.quotaView(maxShownAccounts)
 	}
 	v.Jobs, v.Waiting = o.jobCounts(now)
 	v.Siblings = o.siblingViews(now)
--- a/internal/quota/authority.go
+++ b/internal/quota/authority.go
@@ -8,256 +8,260 @@
 	"daledyke/internal/protocol"
 )
 
-// Permit lets one attempt at a task start. Holders take it only from the present
-// authority: docs/design-quotas.md says why that keeps every limit.
+// Permit allows one attempt at a task to start. Holders accept it only from the current authority;
+// docs/design-quotas.md explains why that enforces every limit.
 type Permit struct {
-	// Authority is the controller that gave it, Term its incarnation, Window the
-	// number of the window by which it was the authority.
+	// Authority is the controller that granted the permit, Term its incarnation, and Window the number of the
+	// window in which it was the authority.
 	Authority string
 	Term      uint64
 	Window    uint64
 }
 
-// Attempt is one attempt at a task.
+// Attempt identifies one attempt at a task.
 type Attempt struct {
 	Task   string
 	Number uint64
 }
 
-// Want is what an owner asks permits for: attempts at tasks of one job, of a gang
-// all or none.
+// Want is a request of permits for attempts at tasks of one job. If Together is set, as for a gang, either
+// all are granted or none.
 type Want struct {
 	Job      string
 	Attempts []Attempt
 	Together bool
 }
 
-// Request is what an owner asks the authority of a team's tree. Its requests go one
-// after the other; it makes none before it has had news of all holders.
+// Request is what an owner sends to the authority of a team's tree. An owner has one request in flight at a
+// time for each team, and sends none before it has a feed from every holder.
 type Request struct {
 	Team   string
 	Caller string
 	// Term is the caller's incarnation.
 	Term  uint64
 	Wants []Want
-	// Holding are all attempts of the caller with a permit whose start is not
-	// settled, used or not.
+	// Holding lists all attempts of the caller that have a permit, used or not, and whose start is not
+	// settled yet.
 	Holding []Attempt
 }
 
-// Reply answers it.
+// Reply answers a Request.
 type Reply struct {
-	// Permit is that of all attempts granted.
+	// Permit is the permit of all attempts granted.
 	Permit  Permit
 	Granted []Attempt
-	// Binds names, for each want of which something was not granted, the account
-	// whose limit binds.
+	// Binds holds, for each want, the account whose limit prevented part of it, or "" if all of it was
+	// granted or the want was not considered.
 	Binds []string
-	// Yield are tasks of the caller's jobs that have to stop.
+	// Yield lists tasks of the team that have to stop.
 	Yield []string
 }
 
-// Job is what the authority has to know of a job.
+// Job is what the authority needs to know of a job.
 type Job struct {
 	Account string
-	Need    protocol.Room // of one task
+	Need    protocol.Room // amount for one task
 	Rank    int
 }
 
-// Seen is how far the authority's picture of all machines goes.
-type Seen struct {
-	// Asked is when the oldest of the holders' news was asked for that the picture
-	// is made of.
-	Asked time.Time
-	// Present is the first window with the present owners, and Obeyed tells that
-	// all holders obey it, and have shown all that they had accepted before.
-	Present uint64
-	Obeyed  bool
+// Freshness describes how recent the authority's view of all machines is.
+type Freshness struct {
+	// RequestedAt is when the oldest of the holders' feeds in the view was requested.
+	RequestedAt time.Time
+	// OwnersSince is the first window with the present owners. Adopted reports that all holders follow that
+	// window and have reported every start that they accepted before it.
+	OwnersSince uint64
+	Adopted     bool
 }
 
-// How long things hold.
+// Lifetimes and intervals of the authority.
 const (
-	// claimLife is for how long a claim counts that is not made again.
-	claimLife = 3 * time.Second
-	// keepFor and letBy: a claim is kept room for so long, then not for so long.
-	keepFor = 20 * time.Second
-	letBy   = 20 * time.Second
-	// reclaimEvery is how often it is looked for what has to stop.
-	reclaimEvery = time.Second
-	// yieldLife is for how long a task that was told to stop is waited for.
-	yieldLife = 30 * time.Second
+	// claimTTL is how long a claim counts after it was last made.
+	claimTTL = 3 * time.Second
+	// A waiting claim has room reserved for reservePeriod, then none for bypassPeriod, in turns, so that
+	// claims that reserve against each other can't block each other for ever.
+	reservePeriod = 20 * time.Second
+	bypassPeriod  = 20 * time.Second
+	// reclaimInterval is the time between two decisions about what has to stop.
+	reclaimInterval = time.Second
+	// yieldTimeout is how long the authority waits for a task that it told to stop before it decides anew.
+	yieldTimeout = 30 * time.Second
 )
 
-// MaxWanted bounds the attempts that one request is granted, but for a single gang.
-const MaxWanted = 256
+// MaxAttemptsPerRequest bounds the attempts granted to one request, except that a single want may exceed it.
+const MaxAttemptsPerRequest = 256
 
-// Authority lends a tree's quotas to owners. It has one owner, who tells it what
-// the board shows. Work for a request grows with what it asks and with the permits
-// that are out, not with accounts or tasks.
+// Authority grants permits for a team's tree to owners. Its caller tells it which attempts the view of the
+// machines shows, and calls it from one goroutine at a time. The cost of a request grows with its attempts
+// and with the outstanding permits, not with accounts or running tasks.
 type Authority struct {
 	ledger *Ledger
-	// counted are the tasks on machines, by job, as they were booked.
-	counted map[string]booking
-	// out are permits whose attempts the board has not shown.
-	out map[Attempt]*lent
-	// owners are the incarnations of those who asked.
-	owners map[string]uint64
-	claims map[string]*claim
+	// running holds, by job, the use that is booked for its tasks on machines.
+	running map[string]booking
+	// grants holds the permits whose attempts the view does not show yet.
+	grants map[Attempt]*grant
+	// callerTerms holds the newest incarnation of each owner that sent a request.
+	callerTerms map[string]uint64
+	// claims holds, by job, what was not granted. yields holds the tasks told to stop, and since when.
+	claims map[string]*pendingClaim
 	yields map[string]time.Time
-	// looked is when it was last looked for what has to stop; over are accounts that
-	// live services alone exceed.
-	looked time.Time
-	over   []string
+	// reclaimedAt is the time of the last decision about what has to stop. overLimit lists the accounts whose
+	// protected services alone exceed the limit.
+	reclaimedAt time.Time
+	overLimit   []string
 }
 
+// booking is an amount counted as use of an account.
 type booking struct {
 	account string
 	room    protocol.Room
 }
 
-type lent struct {
+// grant is a permit whose attempt the view does not show yet.
+type grant struct {
 	booking
 	owner  string
 	term   uint64
 	window uint64
-	// ended is since when its owner no longer holds it, zero while it does.
-	ended time.Time
+	// releasedAt is since when the owner no longer holds the permit; zero while it does.
+	releasedAt time.Time
 }
 
-type claim struct {
+// pendingClaim is the part of a want that was not granted.
+type pendingClaim struct {
 	Claim
-	since, made time.Time
-	noted       bool
-	binds       string
+	since, renewedAt time.Time
+	reserved         bool
+	limitedBy        string
 }
 
-// NewAuthority makes an authority that has seen nothing yet.
+// NewAuthority returns an authority with no use booked and no permit granted.
 func NewAuthority(t *Tree) *Authority {
-	return &Authority{ledger: NewLedger(t), counted: map[string]booking{}, out: map[Attempt]*lent{}, owners: map[string]uint64{},
-		claims: map[string]*claim{}, yields: map[string]time.Time{}}
+	return &Authority{ledger: NewLedger(t), running: map[string]booking{}, grants: map[Attempt]*grant{}, callerTerms: map[string]uint64{},
+		claims: map[string]*pendingClaim{}, yields: map[string]time.Time{}}
 }
 
-// Ledger is what is counted; it must not be changed.
+// Ledger returns the ledger of booked use, which callers must not change.
 func (a *Authority) Ledger() *Ledger { return a.ledger }
 
-// Over are accounts whose live services alone exceed the limit.
-func (a *Authority) Over() []string { return a.over }
+// OverLimit returns the accounts whose protected services alone exceed the limit.
+func (a *Authority) OverLimit() []string { return a.overLimit }
 
-// Lent is how many permits are out that the board has not shown.
-func (a *Authority) Lent() int { return len(a.out) }
+// OutstandingPermits returns the number of permits whose attempts the view does not show yet.
+func (a *Authority) OutstandingPermits() int { return len(a.grants) }
 
-// SetTree goes over to another tree; what is used and lent stays booked.
+// SetTree replaces the tree; use and grants stay booked.
 func (a *Authority) SetTree(t *Tree) {
 	l := NewLedger(t)
-	for _, b := range a.counted {
-		l.Use(b.account, b.room)
+	for _, b := range a.running {
+		l.AddUse(b.account, b.room)
 	}
-	for _, o := range a.out {
-		l.Use(o.account, o.room)
+	for _, g := range a.grants {
+		l.AddUse(g.account, g.room)
 	}
-	a.ledger, a.claims, a.looked = l, map[string]*claim{}, time.Time{}
+	a.ledger, a.claims, a.reclaimedAt = l, map[string]*pendingClaim{}, time.Time{}
 }
 
-// Count books what the board shows of a job: attempts at its tasks that are on
-// machines and have not exited.
-func (a *Authority) Count(id string, j Job, there []Attempt) {
-	if old, ok := a.counted[id]; ok {
+// SetRunning replaces the use booked for a job by that of the given attempts: those that the view shows on
+// machines and that have not exited.
+func (a *Authority) SetRunning(id string, j Job, attempts []Attempt) {
+	if old, ok := a.running[id]; ok {
 		a.book(old, -1)
-		delete(a.counted, id)
+		delete(a.running, id)
 	}
-	for _, at := range there {
-		if o := a.out[at]; o != nil { // from now on it counts as what it is
-			a.book(o.booking, -1)
-			delete(a.out, at)
+	for _, attempt := range attempts {
+		if g := a.grants[attempt]; g != nil { // its use is now booked as running
+			a.book(g.booking, -1)
+			delete(a.grants, attempt)
 		}
 	}
-	if len(there) > 0 {
-		b := booking{j.Account, j.Need.Scale(float64(len(there)))}
+	if len(attempts) > 0 {
+		b := booking{j.Account, j.Need.Scale(float64(len(attempts)))}
 		a.book(b, 1)
-		a.counted[id] = b
+		a.running[id] = b
 	}
 }
 
-func (a *Authority) book(b booking, sign float64) { a.ledger.Use(b.account, b.room.Scale(sign)) }
+func (a *Authority) book(b booking, sign float64) { a.ledger.AddUse(b.account, b.room.Scale(sign)) }
 
-// settle forgets permits that can't have a task any more which the board lacks: the
-// owner no longer holds them, or is none under the present windows, and all
-// holders' news were asked for after that.
-func (a *Authority) settle(seen Seen) {
-	for at, o := range a.out {
-		if !o.ended.IsZero() && seen.Asked.After(o.ended) || o.window < seen.Present && seen.Obeyed {
-			a.book(o.booking, -1)
-			delete(a.out, at)
+// expireGrants drops grants that can no longer lead to a task that the view lacks. Such a grant is either no
+// longer held by its owner, and all feeds in the view were requested after the release; or it is from before
+// the present owners' first window, and all holders have adopted that window.
+func (a *Authority) expireGrants(freshness Freshness) {
+	for attempt, g := range a.grants {
+		if !g.releasedAt.IsZero() && freshness.RequestedAt.After(g.releasedAt) || g.window < freshness.OwnersSince && freshness.Adopted {
+			a.book(g.booking, -1)
+			delete(a.grants, attempt)
 		}
 	}
 }
 
-// Lend answers a request under the permit given. job tells of jobs, false if they
-// are not to be started; running lists what runs in the tree.
-func (a *Authority) Lend(r *Request, p Permit, seen Seen, job func(id string) (Job, bool), running func() []Work, now time.Time) Reply {
+// Lend answers a request; all grants are under the given permit. job looks up a job and returns false if it
+// is not to be started; running lists the workloads that run in the tree.
+func (a *Authority) Lend(r *Request, p Permit, freshness Freshness, job func(id string) (Job, bool), running func() []Workload, now time.Time) Reply {
 	reply := Reply{Permit: p}
-	if r.Term < a.owners[r.Caller] {
-		return reply // a former process, late
+	if r.Term < a.callerTerms[r.Caller] {
+		return reply // a delayed request of a former process
 	}
-	a.owners[r.Caller] = r.Term
-	holding := make(map[Attempt]bool, len(r.Holding))
-	for _, at := range r.Holding {
-		holding[at] = true
+	a.callerTerms[r.Caller] = r.Term
+	held := make(map[Attempt]bool, len(r.Holding))
+	for _, attempt := range r.Holding {
+		held[attempt] = true
 	}
-	for at, o := range a.out {
-		if o.owner == r.Caller && o.ended.IsZero() && (o.term != r.Term || !holding[at]) {
-			o.ended = now
+	for attempt, g := range a.grants {
+		if g.owner == r.Caller && g.releasedAt.IsZero() && (g.term != r.Term || !held[attempt]) {
+			g.releasedAt = now
 		}
 	}
-	a.settle(seen)
-	a.expire(now)
+	a.expireGrants(freshness)
+	a.expireClaims(now)
 	wanted := 0
 	for _, w := range r.Wants {
-		binds := ""
+		limitedBy := ""
 		j, ok := job(w.Job)
-		if wanted += len(w.Attempts); !ok || wanted > MaxWanted && wanted > len(w.Attempts) {
-			reply.Binds = append(reply.Binds, binds)
+		if wanted += len(w.Attempts); !ok || wanted > MaxAttemptsPerRequest && wanted > len(w.Attempts) {
+			reply.Binds = append(reply.Binds, limitedBy)
 			continue
 		}
 		since := now
 		if c := a.claims[w.Job]; c != nil {
 			since = c.since
-			a.drop(w.Job)
+			a.dropClaim(w.Job)
 		}
-		each := 1
+		groupSize := 1
 		if w.Together {
-			each = len(w.Attempts)
+			groupSize = len(w.Attempts)
 		}
 		denied := 0
-		for k := 0; k+each <= len(w.Attempts) && each > 0; k += each {
-			c := &Claim{Account: j.Account, Need: j.Need.Scale(float64(each)), Rank: j.Rank}
+		for k := 0; k+groupSize <= len(w.Attempts) && groupSize > 0; k += groupSize {
+			c := &Claim{Account: j.Account, Need: j.Need.Scale(float64(groupSize)), Rank: j.Rank}
 			if denied == 0 {
-				binds, ok = a.ledger.Admits(c)
+				limitedBy, ok = a.ledger.Admits(c)
 			}
 			if denied > 0 || !ok {
-				denied += each
+				denied += groupSize
 				continue
 			}
-			for _, at := range w.Attempts[k : k+each] {
-				if old := a.out[at]; old != nil { // granted in an answer that got lost
+			for _, attempt := range w.Attempts[k : k+groupSize] {
+				if old := a.grants[attempt]; old != nil { // granted in a reply that was lost
 					a.book(old.booking, -1)
 				}
-				o := &lent{booking: booking{j.Account, j.Need}, owner: r.Caller, term: r.Term, window: p.Window}
-				a.book(o.booking, 1)
-				a.out[at] = o
+				g := &grant{booking: booking{j.Account, j.Need}, owner: r.Caller, term: r.Term, window: p.Window}
+				a.book(g.booking, 1)
+				a.grants[attempt] = g
 			}
-			reply.Granted = append(reply.Granted, w.Attempts[k:k+each]...)
+			reply.Granted = append(reply.Granted, w.Attempts[k:k+groupSize]...)
 		}
 		if denied > 0 {
-			c := &claim{Claim: Claim{Account: j.Account, Need: j.Need.Scale(float64(denied)), Rank: j.Rank}, since: since, made: now, binds: binds}
+			c := &pendingClaim{Claim: Claim{Account: j.Account, Need: j.Need.Scale(float64(denied)), Rank: j.Rank}, since: since, renewedAt: now, limitedBy: limitedBy}
 			a.claims[w.Job] = c
-			if c.noted = now.Sub(since)%(keepFor+letBy) < keepFor; c.noted {
-				a.ledger.Wait(&c.Claim)
+			if c.reserved = now.Sub(since)%(reservePeriod+bypassPeriod) < reservePeriod; c.reserved {
+				a.ledger.Reserve(&c.Claim)
 			}
 		}
-		reply.Binds = append(reply.Binds, binds)
+		reply.Binds = append(reply.Binds, limitedBy)
 	}
-	a.look(running, now)
+	a.reclaim(running, now)
 	for task := range a.yields {
 		reply.Yield = append(reply.Yield, task)
 	}
@@ -265,68 +269,69 @@
 	return reply
 }
 
-func (a *Authority) drop(id string) {
-	if c := a.claims[id]; c.noted {
-		a.ledger.Settle(&c.Claim)
+func (a *Authority) dropClaim(id string) {
+	if c := a.claims[id]; c.reserved {
+		a.ledger.Release(&c.Claim)
 	}
 	delete(a.claims, id)
 }
 
-// expire drops claims that are no longer made.
-func (a *Authority) expire(now time.Time) {
+// expireClaims drops claims that their owners no longer make.
+func (a *Authority) expireClaims(now time.Time) {
 	for id, c := range a.claims {
-		if now.Sub(c.made) > claimLife {
-			a.drop(id)
+		if now.Sub(c.renewedAt) > claimTTL {
+			a.dropClaim(id)
 		}
 	}
 }
 
-// look works out now and then what has to stop: what exceeds a limit that fell,
-// and what is lent to others than those who ask for it.
-func (a *Authority) look(running func() []Work, now time.Time) {
-	if now.Sub(a.looked) < reclaimEvery {
+// reclaim decides, once per reclaimInterval, what has to stop: work above a limit that was lowered, or else
+// work that borrows what a waiting claim is guaranteed.
+func (a *Authority) reclaim(running func() []Workload, now time.Time) {
+	if now.Sub(a.reclaimedAt) < reclaimInterval {
 		return
 	}
-	a.looked = now
+	a.reclaimedAt = now
 	exceeded := false
 	for i := range a.ledger.nodes {
-		exceeded = exceeded || !within(a.ledger.nodes[i].use, a.ledger.tree.accounts[i].Limit)
+		exceeded = exceeded || !withinLimit(a.ledger.nodes[i].use, a.ledger.tree.accounts[i].Limit)
 	}
-	a.over = nil
+	a.overLimit = nil
 	if !exceeded && len(a.claims) == 0 {
 		clear(a.yields)
 		return
 	}
 	work := running()
-	there := make(map[string]bool, len(work))
+	present := make(map[string]bool, len(work))
 	for _, w := range work {
-		there[w.ID] = true
+		present[w.ID] = true
 	}
-	maps.DeleteFunc(a.yields, func(task string, told time.Time) bool { return !there[task] || now.Sub(told) > yieldLife })
+	maps.DeleteFunc(a.yields, func(task string, told time.Time) bool { return !present[task] || now.Sub(told) > yieldTimeout })
 	if exceeded {
-		// All of it anew: what was told to stop and is still there is among it.
+		// The plan is made for all running work, so tasks that were already told to stop and still run are in
+		// it again.
 		plan := Shrink(a.ledger.tree, work)
-		a.over = plan.Over
+		a.overLimit = plan.OverLimit
 		for _, w := range plan.Stop {
-			a.tell(w.ID, now)
+			a.requestYield(w.ID, now)
 		}
 		return
 	}
 	if len(a.yields) > 0 {
-		return // room is on its way
+		return // tasks are already stopping
 	}
 	for _, id := range slices.Sorted(maps.Keys(a.claims)) {
 		c := a.claims[id]
-		if stop := Reclaim(a.ledger, &c.Claim, c.binds, work); len(stop) > 0 {
+		if stop := Reclaim(a.ledger, &c.Claim, c.limitedBy, work); len(stop) > 0 {
 			for _, w := range stop {
-				a.tell(w.ID, now)
+				a.requestYield(w.ID, now)
 			}
 			return
 		}
 	}
 }
 
-func (a *Authority) tell(task string, now time.Time) {
+func (a *Authority) requestYield(task string, now time.Time) {
 	if _, told := a.yields[task]; !told {
 		a.yields[task] = now
 	}
--- a/internal/quota/authority_test.go
+++ b/internal/quota/authority_test.go
@@ -14,63 +14,65 @@
 // simOwner is a controller that starts tasks.
 type simOwner struct {
 	term    uint64
-	news    bool // it has had news of the holder in this incarnation
+	heard   bool // the holder has answered this incarnation
 	holding map[Attempt]Permit
 	sent    map[Attempt]bool
 }
 
-type simAsk struct {
+// simStart is an owner's request to the holder to start an attempt.
+type simStart struct {
 	owner  int
 	term   uint64
 	at     Attempt
 	permit Permit
 }
 
-// simWorld is one holder, some owners and an authority, and all that can happen
-// to what they say to each other.
+// simWorld is one holder, several owners and an authority, with the requests in flight between them.
 type simWorld struct {
-	tree    *Tree
-	jobs    map[string]Job
-	now     time.Time
-	seq     uint64
-	owners  []*simOwner
-	asks    []simAsk
-	running map[Attempt]string // what the holder accepted, by job
-	fence   map[string]uint64  // the oldest incarnation that the holder serves
-	obeys   uint64             // the window that it obeys
+	tree         *Tree
+	jobs         map[string]Job
+	now          time.Time
+	seq          uint64
+	owners       []*simOwner
+	starts       []simStart
+	running      map[Attempt]string // the attempts that the holder accepted, and their jobs
+	fence        map[string]uint64  // the oldest incarnation of each controller that the holder serves
+	holderWindow uint64             // the window that the holder follows
 
-	authority *Authority
-	name      string
-	term      uint64
-	window    uint64
-	asked     time.Time // when the news on their way were asked for
-	seen      Seen
-	ready     bool
+	authority   *Authority
+	name        string
+	term        uint64
+	window      uint64
+	requestedAt time.Time // when the feed in flight was requested; zero if there is none
+	freshness   Freshness
+	ready       bool
 }
 
-func (w *simWorld) depose(window bool) {
+// replaceAuthority starts a new incarnation of the authority; with newWindow set, another controller becomes
+// the authority in a new window.
+func (w *simWorld) replaceAuthority(newWindow bool) {
 	w.term++
-	if window {
+	if newWindow {
 		w.window++
 		w.name = fmt.Sprint("c", w.window)
 	}
-	w.authority, w.ready, w.seen, w.asked = NewAuthority(w.tree), false, Seen{Present: w.window}, time.Time{}
+	w.authority, w.ready, w.freshness, w.requestedAt = NewAuthority(w.tree), false, Freshness{OwnersSince: w.window}, time.Time{}
 }
 
 func (w *simWorld) job(id string) (Job, bool) { j, ok := w.jobs[id]; return j, ok }
 
-func (w *simWorld) work() (out []Work) {
-	for at, id := range w.running {
+func (w *simWorld) workloads() (out []Workload) {
+	for attempt, id := range w.running {
 		j := w.jobs[id]
-		out = append(out, Work{ID: at.Task, Account: j.Account, Need: j.Need, Rank: j.Rank})
+		out = append(out, Workload{ID: attempt.Task, Account: j.Account, Need: j.Need, Rank: j.Rank})
 	}
 	return out
 }
 
-// In whatever order permits are granted, lost, used late, held by owners and
-// authorities that crash, are deposed and come back, while quotas change, what runs
-// never exceeds a limit that it did not exceed when that fell.
-func TestNothingIsLentTwice(t *testing.T) {
+// TestUseStaysWithinLimitsAcrossFailures grants, loses and uses permits in random order while quotas change
+// and owners and authorities crash, are replaced and come back. Running tasks may never exceed a limit,
+// except where they already exceeded it when it was lowered.
+func TestUseStaysWithinLimitsAcrossFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cores := func(c float64) protocol.Room { return protocol.Room{Cores: c} }
 		limited := func(a, x, y int) *Tree {
@@ -81,31 +83,32 @@
 			return tree
 		}
 		tree := limited(2, 1, 2)
-		// allowed is what an account may use: its limit, or what was used or lent when
-		// that fell below it.
+		// allowed is what an account may use: its limit, or what was used or lent when the limit was lowered
+		// below that.
 		allowed := map[string]float64{"a": 2, "a/x": 1, "a/y": 2}
-		w := &simWorld{tree: tree, now: time.Unix(1000, 0), running: map[Attempt]string{}, fence: map[string]uint64{}, window: 1, obeys: 1, name: "c1",
+		w := &simWorld{tree: tree, now: time.Unix(1000, 0), running: map[Attempt]string{}, fence: map[string]uint64{}, window: 1, holderWindow: 1, name: "c1",
 			jobs: map[string]Job{"j0": {"a/x", cores(1), 0}, "j1": {"a/y", cores(1), 1}, "j2": {"a/y", cores(2), 2}, "j3": {"a", cores(1), 3}}}
 		for range 2 {
 			w.owners = append(w.owners, &simOwner{term: 1, holding: map[Attempt]Permit{}, sent: map[Attempt]bool{}})
 		}
-		w.depose(false)
-		// Which steps are taken is drawn evenly: rapid's own draws prefer the first.
+		w.replaceAuthority(false)
+		// The steps are drawn uniformly from a seeded generator, because rapid's own draws prefer the first
+		// choices.
 		seed := rapid.Uint64().Draw(t, "seed")
 		rng := rand.New(rand.NewPCG(seed, seed))
-		steps := []string{"want", "want", "want", "ask", "ask", "ask", "arrives", "settles", "askNews", "askNews", "news", "news", "ends", "authorityCrashes", "deposed", "ownersChange", "quotasChange", "ownerCrashes", "ownerNews"}
+		steps := []string{"requestPermits", "requestPermits", "requestPermits", "sendStart", "sendStart", "sendStart", "startArrives", "startsSettle", "requestFeed", "requestFeed", "feedArrives", "feedArrives", "taskEnds", "authorityCrashes", "authorityReplaced", "ownersChange", "quotasChange", "ownerCrashes", "ownerFeedArrives"}
 		for range 300 {
 			w.now = w.now.Add(100 * time.Millisecond)
-			k := rng.IntN(len(w.owners))
-			o, name := w.owners[k], fmt.Sprint("o", k)
+			index := rng.IntN(len(w.owners))
+			owner, name := w.owners[index], fmt.Sprint("o", index)
 			switch steps[rng.IntN(len(steps))] {
-			case "want":
-				if !w.ready || !o.news {
+			case "requestPermits":
+				if !w.ready || !owner.heard {
 					continue
 				}
-				r := &Request{Caller: name, Term: o.term}
-				for at := range o.holding {
-					r.Holding = append(r.Holding, at)
+				r := &Request{Caller: name, Term: owner.term}
+				for attempt := range owner.holding {
+					r.Holding = append(r.Holding, attempt)
 				}
 				want := Want{Job: fmt.Sprint("j", rng.IntN(4)), Together: rng.IntN(2) == 0}
 				for range 1 + rng.IntN(2) {
@@ -113,74 +116,74 @@
 					want.Attempts = append(want.Attempts, Attempt{want.Job, w.seq})
 				}
 				r.Wants = []Want{want}
-				reply := w.authority.Lend(r, Permit{w.name, w.term, w.window}, w.seen, w.job, w.work, w.now)
+				reply := w.authority.Lend(r, Permit{w.name, w.term, w.window}, w.freshness, w.job, w.workloads, w.now)
 				if rng.IntN(4) == 0 {
 					continue
 				}
-				for _, at := range reply.Granted {
-					o.holding[at] = reply.Permit
+				for _, attempt := range reply.Granted {
+					owner.holding[attempt] = reply.Permit
 				}
-			case "ask":
-				for at, p := range o.holding {
-					if !o.sent[at] {
-						o.sent[at] = true
-						w.asks = append(w.asks, simAsk{k, o.term, at, p})
+			case "sendStart":
+				for attempt, p := range owner.holding {
+					if !owner.sent[attempt] {
+						owner.sent[attempt] = true
+						w.starts = append(w.starts, simStart{index, owner.term, attempt, p})
 						break
 					}
 				}
-			case "arrives":
-				if len(w.asks) == 0 {
+			case "startArrives":
+				if len(w.starts) == 0 {
 					continue
 				}
-				i := rng.IntN(len(w.asks))
-				a := w.asks[i]
-				w.asks = append(w.asks[:i:i], w.asks[i+1:]...)
-				if a.term >= w.fence[fmt.Sprint("o", a.owner)] && a.permit.Window >= w.obeys && a.permit.Term >= w.fence[a.permit.Authority] {
-					w.running[a.at] = a.at.Task
+				i := rng.IntN(len(w.starts))
+				start := w.starts[i]
+				w.starts = append(w.starts[:i:i], w.starts[i+1:]...)
+				if start.term >= w.fence[fmt.Sprint("o", start.owner)] && start.permit.Window >= w.holderWindow && start.permit.Term >= w.fence[start.permit.Authority] {
+					w.running[start.at] = start.at.Task
 				}
-			case "settles": // the owner learns what became of its requests, and gives back what it doesn't use
-				if !o.news {
+			case "startsSettle": // the owner learns the outcome of its starts, and releases permits that it does not use
+				if !owner.heard {
 					continue
 				}
-				for at := range o.holding {
-					open := false
-					for _, a := range w.asks {
-						open = open || a.at == at
+				for attempt := range owner.holding {
+					inFlight := false
+					for _, start := range w.starts {
+						inFlight = inFlight || start.at == attempt
 					}
-					if !open {
-						delete(o.holding, at)
-						delete(o.sent, at)
+					if !inFlight {
+						delete(owner.holding, attempt)
+						delete(owner.sent, attempt)
 					}
 				}
-			case "askNews":
-				if w.asked.IsZero() {
-					w.asked = w.now
+			case "requestFeed":
+				if w.requestedAt.IsZero() {
+					w.requestedAt = w.now
 				}
-			case "news":
-				if w.asked.IsZero() {
+			case "feedArrives":
+				if w.requestedAt.IsZero() {
 					continue
 				}
-				w.fence[w.name], w.obeys = max(w.fence[w.name], w.term), max(w.obeys, w.window)
-				w.seen = Seen{Asked: w.asked, Present: w.window, Obeyed: true}
-				w.asked, w.ready = time.Time{}, true
+				w.fence[w.name], w.holderWindow = max(w.fence[w.name], w.term), max(w.holderWindow, w.window)
+				w.freshness = Freshness{RequestedAt: w.requestedAt, OwnersSince: w.window, Adopted: true}
+				w.requestedAt, w.ready = time.Time{}, true
 				for id, j := range w.jobs {
-					var there []Attempt
-					for at, of := range w.running {
-						if of == id {
-							there = append(there, at)
+					var attempts []Attempt
+					for attempt, job := range w.running {
+						if job == id {
+							attempts = append(attempts, attempt)
 						}
 					}
-					w.authority.Count(id, j, there)
+					w.authority.SetRunning(id, j, attempts)
 				}
-			case "ends":
-				for at := range w.running {
-					delete(w.running, at)
+			case "taskEnds":
+				for attempt := range w.running {
+					delete(w.running, attempt)
 					break
 				}
 			case "authorityCrashes":
-				w.depose(false)
-			case "deposed":
-				w.depose(true)
+				w.replaceAuthority(false)
+			case "authorityReplaced":
+				w.replaceAuthority(true)
 			case "quotasChange":
 				next := limited(1+rng.IntN(3), 1+rng.IntN(2), 1+rng.IntN(3))
 				for _, a := range next.accounts {
@@ -192,17 +195,17 @@
 				}
 				tree, w.tree = next, next
 				w.authority.SetTree(next)
-			case "ownersChange": // others than the authority: it goes on, but grants nothing until all holders obey
+			case "ownersChange": // the authority stays, but grants nothing until all holders follow the new window
 				w.window++
-				w.seen.Present, w.seen.Obeyed, w.ready = w.window, false, false
+				w.freshness.OwnersSince, w.freshness.Adopted, w.ready = w.window, false, false
 			case "ownerCrashes":
-				*o = simOwner{term: o.term + 1, holding: map[Attempt]Permit{}, sent: map[Attempt]bool{}}
-			case "ownerNews":
-				o.news, w.fence[name] = true, max(w.fence[name], o.term)
+				*owner = simOwner{term: owner.term + 1, holding: map[Attempt]Permit{}, sent: map[Attempt]bool{}}
+			case "ownerFeedArrives":
+				owner.heard, w.fence[name] = true, max(w.fence[name], owner.term)
 			}
 			use := NewLedger(tree)
 			for _, id := range w.running {
-				use.Use(w.jobs[id].Account, w.jobs[id].Need)
+				use.AddUse(w.jobs[id].Account, w.jobs[id].Need)
 			}
 			for i, a := range tree.accounts {
 				if use.nodes[i].use.Cores > allowed[a.Name] {
@@ -213,9 +216,9 @@
 	})
 }
 
-// Permits that are out come back once nobody can use them any more; until then
-// they count.
-func TestPermitsComeBack(t *testing.T) {
+// TestUnusablePermitsAreReturned checks that a granted permit counts until its attempt can no longer start,
+// and is returned then.
+func TestUnusablePermitsAreReturned(t *testing.T) {
 	cores := func(c float64) protocol.Room { return protocol.Room{Cores: c} }
 	tree, err := NewTree([]Account{{Name: "a", Limit: cores(2)}}, anyTeam)
 	if err != nil {
@@ -224,40 +227,39 @@
 	a := NewAuthority(tree)
 	job := func(string) (Job, bool) { return Job{"a", cores(1), 1}, true }
 	now := time.Unix(1000, 0)
-	ask := func(term uint64, holding []Attempt, seen Seen, tasks ...string) []Attempt {
+	ask := func(term uint64, holding []Attempt, freshness Freshness, tasks ...string) []Attempt {
 		r := &Request{Caller: "o", Term: term, Holding: holding}
 		for _, task := range tasks {
 			r.Wants = append(r.Wants, Want{Job: task, Attempts: []Attempt{{task, term}}})
 		}
-		return a.Lend(r, Permit{"c", 1, 1}, seen, job, func() []Work { return nil }, now).Granted
+		return a.Lend(r, Permit{"c", 1, 1}, freshness, job, func() []Workload { return nil }, now).Granted
 	}
-	old, fresh := Seen{Asked: now.Add(-time.Second), Present: 1}, Seen{Asked: now.Add(time.Second), Present: 1}
+	old, fresh := Freshness{RequestedAt: now.Add(-time.Second), OwnersSince: 1}, Freshness{RequestedAt: now.Add(time.Second), OwnersSince: 1}
 	if got := ask(1, nil, old, "x", "y", "z"); len(got) != 2 {
 		t.Fatalf("granted %v of a limit of two", got)
 	}
 	if got := ask(1, []Attempt{{"x", 1}}, old, "z"); len(got) != 0 {
-		t.Errorf("one was let go, but may run: %v", got)
+		t.Errorf("a released permit was granted again while its attempt may still run: %v", got)
 	}
 	if got := ask(1, []Attempt{{"x", 1}}, fresh, "z"); len(got) != 1 {
-		t.Errorf("news that were asked for later lack it: %v", got)
+		t.Errorf("a feed requested after the release lacks the attempt, but its permit was not granted again: %v", got)
 	}
 	if got := ask(2, nil, old, "z"); len(got) != 0 {
-		t.Errorf("those of the former process count: %v", got)
+		t.Errorf("permits of the former process were granted again before a later feed: %v", got)
 	}
 	if got := ask(1, nil, fresh, "z"); len(got) != 0 {
-		t.Errorf("a former process is served: %v", got)
+		t.Errorf("a request of a former process was granted: %v", got)
 	}
 	if got := ask(2, nil, fresh, "z"); len(got) != 1 {
-		t.Errorf("until news show what it did: %v", got)
+		t.Errorf("a later feed lacks the former process's attempts, but its permits were not granted again: %v", got)
 	}
-	a.Count("z", Job{"a", cores(1), 1}, []Attempt{{"z", 2}})
-	if u := a.Ledger().Used("a"); u != cores(1) || a.Lent() != 0 {
-		t.Errorf("a task that shows counts twice: %v, %d out", u, a.Lent())
+	a.SetRunning("z", Job{"a", cores(1), 1}, []Attempt{{"z", 2}})
+	if u := a.Ledger().Used("a"); u != cores(1) || a.OutstandingPermits() != 0 {
+		t.Errorf("a running task is counted twice: %v, %d permits outstanding", u, a.OutstandingPermits())
 	}
 }
 
-// A request for a round of 64 tasks, and what it costs with 2,000 accounts and 3,000
-// jobs that run.
+// BenchmarkLend shows the cost of a request for 64 tasks with up to 2,000 accounts and 3,000 running jobs.
 func BenchmarkLend(b *testing.B) {
 	for _, n := range []int{10, 200, 2000} {
 		list := []Account{{Name: "a"}}
@@ -270,7 +272,7 @@
 		}
 		a := NewAuthority(tree)
 		for i := range 3000 {
-			a.Count(fmt.Sprint("j", i), Job{list[1+i%n].Name, protocol.Room{Cores: 1}, 1}, []Attempt{{fmt.Sprint("j", i, "/0"), 1}})
+			a.SetRunning(fmt.Sprint("j", i), Job{list[1+i%n].Name, protocol.Room{Cores: 1}, 1}, []Attempt{{fmt.Sprint("j", i, "/0"), 1}})
 		}
 		job := func(string) (Job, bool) { return Job{list[n/2].Name, protocol.Room{Cores: 1}, 1}, true }
 		r := &Request{Caller: "o", Term: 1, Wants: []Want{{Job: "x"}}}
@@ -282,7 +284,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				if got := a.Lend(r, Permit{"c", 1, 1}, Seen{Asked: now, Present: 1}, job, func() []Work { return nil }, now); len(got.Granted) != 64 {
+				if got := a.Lend(r, Permit{"c", 1, 1}, Freshness{RequestedAt: now, OwnersSince: 1}, job, func() []Workload { return nil }, now); len(got.Granted) != 64 {
 					b.Fatal(got)
 				}
 			}
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -2,50 +2,50 @@
 
 import "daledyke/internal/protocol"
 
-// Change is what operators want changed at run time, all of it or nothing.
+// Change is a change of accounts by operators, applied as a whole or not at all.
 type Change struct {
-	// Revision is the one that the change was decided by: another one means that
-	// somebody else changed something meanwhile.
+	// Revision is the revision that the operator saw. The change is refused if the current revision differs,
+	// because someone else changed accounts meanwhile.
 	Revision uint64
 	Set      []Account
-	// Drop takes accounts out with all below them.
+	// Drop lists accounts to remove with all accounts below them.
 	Drop   []string
 	By     string
 	Why    string
 	DryRun bool
 }
 
-// Outcome is what became of a change.
+// Outcome is the result of a change.
 type Outcome struct {
-	// Revision is the new one; in a dry run the present.
+	// Revision is the new revision; in a dry run, the current one.
 	Revision uint64
-	// Refused says why nothing was changed, "" if it was.
+	// Refused is the reason why nothing was changed, or "" if the change was accepted.
 	Refused string
-	// Shrinks are accounts that have to give something back, Over those whose live
-	// services alone use more than their limit.
+	// Shrinks lists the accounts in which work has to stop, Over the accounts whose protected services alone
+	// use more than their limit.
 	Shrinks []Shrunk
 	Over    []string
 }
 
-// Shrunk is what stops in one account.
+// Shrunk is the work that stops in one account.
 type Shrunk struct {
 	Account string
-	Tasks   int // a gang of several counts once
+	Tasks   int // a gang counts once
 	Room    protocol.Room
 }
 
-// Shrinks sums up a plan by account.
-func (p *Plan) Shrinks() (out []Shrunk) {
-	at := map[string]int{}
+// ByAccount totals the plan's stops by account.
+func (p *Plan) ByAccount() (totals []Shrunk) {
+	indexes := map[string]int{}
 	for _, w := range p.Stop {
-		k, ok := at[w.Account]
+		k, ok := indexes[w.Account]
 		if !ok {
-			k = len(out)
-			at[w.Account] = k
-			out = append(out, Shrunk{Account: w.Account})
+			k = len(totals)
+			indexes[w.Account] = k
+			totals = append(totals, Shrunk{Account: w.Account})
 		}
-		out[k].Tasks++
-		out[k].Room = out[k].Room.Add(w.Need)
+		totals[k].Tasks++
+		totals[k].Room = totals[k].Room.Add(w.Need)
 	}
-	return out
+	return totals
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -4,34 +4,37 @@
 	"daledyke/internal/protocol"
 )
 
-// ranks is how many priorities there are.
-const ranks = 4
+// rankCount is the number of priority ranks.
+const rankCount = 4
 
-// Ledger counts, for every account of a tree, what is used in it and below, and
-// what waits. Each change and each decision costs as much as the account's path is
-// deep, however many accounts there are. It has one owner.
+// Ledger counts, for every account of a tree, the use in it and below it, and the claims that wait. The cost
+// of an update or a decision grows with the depth of the account, not with the number of accounts. A Ledger
+// is not safe for concurrent use.
 type Ledger struct {
 	tree  *Tree
-	nodes []entry
+	nodes []ledgerNode
 }
 
-type entry struct {
-	// use is of the account and all below.
+// ledgerNode is the state of one account.
+type ledgerNode struct {
+	// use is the use of the account and all accounts below it.
 	use protocol.Room
-	// direct waits in the account itself: for who asks with rank k, what goes
-	// first; asked is the same of the accounts below, as far as they may ask, and
-	// asks what this one asks of the one above.
-	direct, asked, asks [ranks]protocol.Room
+	// Each reserve is indexed by rank: reserve[k] is the amount that a claim of rank k beyond its guarantees
+	// has to leave free. ownReserve is for claims that have precedence at this account itself. childReserve
+	// is the sum of the children's parentReserve. parentReserve is the amount reserved here that also has to
+	// stay free in the parent: as much of the first two as this account's own limit would let start.
+	ownReserve, childReserve, parentReserve [rankCount]protocol.Room
 }
 
-// NewLedger makes an empty ledger of a tree.
-func NewLedger(t *Tree) *Ledger { return &Ledger{tree: t, nodes: make([]entry, len(t.accounts))} }
+// NewLedger returns an empty ledger of a tree.
+func NewLedger(t *Tree) *Ledger { return &Ledger{tree: t, nodes: make([]ledgerNode, len(t.accounts))} }
 
-// Tree is what the ledger counts by.
+// Tree returns the tree that the ledger counts by.
 func (l *Ledger) Tree() *Tree { return l.tree }
 
-// home is the nearest account at or above a name that the tree has, -1 if none.
-func (l *Ledger) home(name string) int {
+// nearestAccount returns the index of the account with a name, or else of its nearest ancestor in the tree,
+// or -1 if there is none.
+func (l *Ledger) nearestAccount(name string) int {
 	for ; name != ""; name = Parent(name) {
 		if i, ok := l.tree.index[name]; ok {
 			return i
@@ -40,40 +43,39 @@
 	return -1
 }
 
-// Use adds to what is used in an account (takes away, if negative). Names that
-// the tree does not have count for the nearest account above that it has.
-func (l *Ledger) Use(name string, more protocol.Room) {
-	for i := l.home(name); i >= 0; i = l.tree.parent[i] {
-		l.nodes[i].use = l.nodes[i].use.Add(more)
-		l.ask(i)
+// AddUse adds delta, which may be negative, to the use of an account. An account that is not in the tree
+// counts for its nearest ancestor there.
+func (l *Ledger) AddUse(name string, delta protocol.Room) {
+	for i := l.nearestAccount(name); i >= 0; i = l.tree.parent[i] {
+		l.nodes[i].use = l.nodes[i].use.Add(delta)
+		l.updateReserve(i)
 	}
 }
 
-// ask works out anew what a node asks the one above to keep for it: what waits, as
-// far as the node's own limit would let it start.
-func (l *Ledger) ask(i int) {
+// updateReserve recomputes the parentReserve of an account, and its parent's childReserve with it.
+func (l *Ledger) updateReserve(i int) {
 	n, p := &l.nodes[i], l.tree.parent[i]
-	gap := most(orNone(l.tree.accounts[i].Limit).Sub(n.use))
-	for k := range ranks {
-		asks := least(n.direct[k].Add(n.asked[k]), gap)
+	headroom := nonNegative(unlimitedIfZero(l.tree.accounts[i].Limit).Sub(n.use))
+	for k := range rankCount {
+		reserve := minimum(n.ownReserve[k].Add(n.childReserve[k]), headroom)
 		if p >= 0 {
-			l.nodes[p].asked[k] = l.nodes[p].asked[k].Add(asks).Sub(n.asks[k])
+			l.nodes[p].childReserve[k] = l.nodes[p].childReserve[k].Add(reserve).Sub(n.parentReserve[k])
 		}
-		n.asks[k] = asks
+		n.parentReserve[k] = reserve
 	}
 }
 
-// least and most bound amounts, resource by resource; most keeps them from being
-// negative.
-func least(a, b protocol.Room) protocol.Room {
+// minimum returns the smaller of two amounts, resource by resource.
+func minimum(a, b protocol.Room) protocol.Room {
 	return protocol.Room{Cores: min(a.Cores, b.Cores), Accels: min(a.Accels, b.Accels), RAM: min(a.RAM, b.RAM)}
 }
 
-func most(a protocol.Room) protocol.Room {
+// nonNegative replaces negative amounts by 0.
+func nonNegative(a protocol.Room) protocol.Room {
 	return protocol.Room{Cores: max(a.Cores, 0), Accels: max(a.Accels, 0), RAM: max(a.RAM, 0)}
 }
 
-// Used is what is used in an account and below.
+// Used returns the use of an account and all accounts below it.
 func (l *Ledger) Used(name string) protocol.Room {
 	if i, ok := l.tree.index[name]; ok {
 		return l.nodes[i].use
@@ -81,107 +83,107 @@
 	return protocol.Room{}
 }
 
-// Claim is work that waits for a quota.
+// Claim is work that waits for quota.
 type Claim struct {
 	Account string
-	Need    protocol.Room // of all that must start at once
-	Rank    int           // of its priority, 0 to 3
-	// owed is the lowest account on its path within whose guarantee it lay when it
-	// was last noted, -1 if none.
-	owed int
+	Need    protocol.Room // of all tasks that must start together
+	Rank    int           // rank of its priority, 0 to 3
+	// guaranteedBy is the index of the lowest account on the path whose guarantee covered the claim when it
+	// was last reserved for, or -1 if there was none.
+	guaranteedBy int
 }
 
-// Wait notes a claim as waiting: others leave room for it that go after it. Those
-// within guarantees go first, then by priority; claims that are alike don't wait
-// for one another. Different accounts' guarantees and priorities can have claims
-// leave room for each other in a circle, and a large claim may never fit: who notes
-// claims has to take each back for a while after a time (Settle), which lets all
-// others by.
-func (l *Ledger) Wait(c *Claim) {
-	c.owed = l.owed(c.Account, c.Need)
-	l.waits(c, c.Need)
+// Reserve registers a claim as waiting: claims that come after it in order have to leave room for it. Claims
+// within guarantees come first, then higher priorities; claims of equal order don't reserve against each
+// other. Across accounts, guarantees and priorities can make claims reserve against each other in a cycle,
+// and a large claim may never fit. Callers therefore have to Release each claim from time to time, so that
+// others can start.
+func (l *Ledger) Reserve(c *Claim) {
+	c.guaranteedBy = l.guaranteedBy(c.Account, c.Need)
+	l.addReserve(c, c.Need)
 }
 
-// Settle takes back what Wait noted.
-func (l *Ledger) Settle(c *Claim) { l.waits(c, protocol.Room{}.Sub(c.Need)) }
+// Release undoes Reserve.
+func (l *Ledger) Release(c *Claim) { l.addReserve(c, protocol.Room{}.Sub(c.Need)) }
 
-func (l *Ledger) waits(c *Claim, more protocol.Room) {
-	at := l.home(c.Account)
-	if at < 0 {
+// addReserve adds delta to the reserves that a claim causes along its path.
+func (l *Ledger) addReserve(c *Claim, delta protocol.Room) {
+	account := l.nearestAccount(c.Account)
+	if account < 0 {
 		return
 	}
-	// Among what competes for an account's limit, higher priorities go first; what
-	// lies within the guarantee of one below goes before all that does not.
-	owedAt := -1
-	if c.owed >= 0 {
-		if owedAt = l.tree.parent[c.owed]; c.owed == at {
-			owedAt = at
+	// At the claim's own account, lower ranks leave room for it. At precedenceAt, where a guarantee below
+	// competes with other claims for the limit, all ranks leave room for it.
+	precedenceAt := -1
+	if c.guaranteedBy >= 0 {
+		if precedenceAt = l.tree.parent[c.guaranteedBy]; c.guaranteedBy == account {
+			precedenceAt = account
 		}
 	}
-	for i := at; i >= 0; i = l.tree.parent[i] {
-		for k := range ranks {
-			if i == at && (k < c.Rank || owedAt == at) || i == owedAt && i != at && k >= c.Rank {
-				l.nodes[i].direct[k] = l.nodes[i].direct[k].Add(more)
+	for i := account; i >= 0; i = l.tree.parent[i] {
+		for k := range rankCount {
+			if i == account && (k < c.Rank || precedenceAt == account) || i == precedenceAt && i != account && k >= c.Rank {
+				l.nodes[i].ownReserve[k] = l.nodes[i].ownReserve[k].Add(delta)
 			}
 		}
-		l.ask(i)
+		l.updateReserve(i)
 	}
 }
 
-// owed is the lowest account on a path within whose guarantee so much more lies, -1
-// if there is none.
-func (l *Ledger) owed(name string, more protocol.Room) int {
-	for i := l.home(name); i >= 0; i = l.tree.parent[i] {
-		if guarantees(l.tree.accounts[i].Guarantee, l.nodes[i].use.Add(more), more) {
+// guaranteedBy returns the index of the lowest account on a path whose guarantee covers need on top of the
+// present use, or -1 if there is none.
+func (l *Ledger) guaranteedBy(name string, need protocol.Room) int {
+	for i := l.nearestAccount(name); i >= 0; i = l.tree.parent[i] {
+		if withinGuarantee(l.tree.accounts[i].Guarantee, l.nodes[i].use.Add(need), need) {
 			return i
 		}
 	}
 	return -1
 }
 
-// guarantees tells whether a use lies within a guarantee in all that more takes;
-// a guarantee of nothing is none.
-func guarantees(g, use, more protocol.Room) bool {
+// withinGuarantee reports whether a use is within a guarantee in every resource that need takes. A guarantee
+// of 0 CPUs or GPUs covers nothing; a guarantee of 0 RAM does not restrict.
+func withinGuarantee(guarantee, use, need protocol.Room) bool {
 	const slack = 1e-6
-	lies := func(g, use, more float64) bool { return more <= 0 || g > 0 && use <= g+slack }
-	return lies(g.Cores, use.Cores, more.Cores) && lies(g.Accels, use.Accels, more.Accels) && (g.RAM <= 0 || lies(g.RAM, use.RAM, more.RAM))
+	covers := func(guarantee, use, need float64) bool { return need <= 0 || guarantee > 0 && use <= guarantee+slack }
+	return covers(guarantee.Cores, use.Cores, need.Cores) && covers(guarantee.Accels, use.Accels, need.Accels) && (guarantee.RAM <= 0 || covers(guarantee.RAM, use.RAM, need.RAM))
 }
 
-// Admits tells whether a claim may start now, and if not, which node binds.
+// Admits reports whether a claim may start now, and if not, the account whose limit prevents it.
 //
-// On the way up, each node's limit must hold with what it takes. Beyond the
-// guarantees so far it must also leave room for what goes first: what is lent is not
-// lent again while its owner asks for it. Within them nothing stands in the way but
-// limits.
-func (l *Ledger) Admits(c *Claim) (binds string, ok bool) {
-	owed := l.owed(c.Account, c.Need)
-	at := l.home(c.Account)
-	guaranteed := owed == at
-	for i := at; i >= 0; i = l.tree.parent[i] {
+// On every account of the path, the use with the claim has to be within the limit. Below and at the account
+// that guarantees the claim, and everywhere if there is none, the claim also has to leave free what is
+// reserved for claims that come first: what is borrowed is not lent again while its owner asks for it. Above
+// the guaranteeing account, only limits count.
+func (l *Ledger) Admits(c *Claim) (limitedBy string, ok bool) {
+	guaranteedBy := l.guaranteedBy(c.Account, c.Need)
+	account := l.nearestAccount(c.Account)
+	guaranteed := guaranteedBy == account
+	for i := account; i >= 0; i = l.tree.parent[i] {
 		n, a := &l.nodes[i], &l.tree.accounts[i]
 		use := n.use.Add(c.Need)
 		if !guaranteed {
-			use = use.Add(n.direct[c.Rank]).Add(n.asked[c.Rank])
+			use = use.Add(n.ownReserve[c.Rank]).Add(n.childReserve[c.Rank])
 		}
-		// Only what the claim takes of can be short.
-		if !within(only(use, c.Need), a.Limit) {
+		// A resource that the claim does not take can't prevent it.
+		if !withinLimit(restrictTo(use, c.Need), a.Limit) {
 			return a.Name, false
 		}
-		guaranteed = guaranteed || i == owed
+		guaranteed = guaranteed || i == guaranteedBy
 	}
 	return "", true
 }
 
-// Beyond is what a use has more than an amount, resource by resource.
-func Beyond(use, amount protocol.Room) protocol.Room { return most(use.Sub(amount)) }
+// Excess returns the part of a use above an amount, resource by resource.
+func Excess(use, amount protocol.Room) protocol.Room { return nonNegative(use.Sub(amount)) }
 
-// only leaves of a use what a need takes of.
-func only(use, need protocol.Room) protocol.Room {
-	pick := func(use, need float64) float64 {
+// restrictTo returns a use with the resources that need does not take set to 0.
+func restrictTo(use, need protocol.Room) protocol.Room {
+	restrict := func(use, need float64) float64 {
 		if need > 0 {
 			return use
 		}
 		return 0
 	}
-	return protocol.Room{Cores: pick(use.Cores, need.Cores), Accels: pick(use.Accels, need.Accels), RAM: pick(use.RAM, need.RAM)}
+	return protocol.Room{Cores: restrict(use.Cores, need.Cores), Accels: restrict(use.Accels, need.Accels), RAM: restrict(use.RAM, need.RAM)}
 }
