--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -245,7 +245,7 @@
 }
 
 // quotaHeadroom returns, for each waiting job, how many more tasks its quotas would let start beside what
-// runs. Machines are rented for no more than these.
+// runs. No machines are rented for tasks beyond that.
 func (o *Owner) quotaHeadroom() map[string]int {
 	if o.quotas.tree == nil {
 		return nil
--- a/internal/coordination/quota_view.go
+++ b/internal/coordination/quota_view.go
@@ -15,7 +15,8 @@
 
 // This file holds the operators' view of nested quotas, and their changes to them.
 
-// quotaUsage returns the use of all accounts by the board. It is computed at most once a second.
+// quotaUsage returns the use of all accounts according to the board. It is computed at most once a second,
+// for all callers.
 func (o *Owner) quotaUsage(now time.Time) *quota.Ledger {
 	q := &o.quotas
 	if q.usage != nil && now.Sub(q.usageAt) < time.Second && q.usage.Tree() == q.tree {
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -36,7 +36,7 @@
 	orphanedStarts map[quota.Attempt]*pendingStart
 	// yielding are the tasks that authorities told to stop.
 	yielding map[string]bool
-	// usage is the use of all accounts by the board, as of usageAt.
+	// usage is the use of all accounts according to the board, as of usageAt.
 	usage   *quota.Ledger
 	usageAt time.Time
 	// requestCount and permitCount count the requests made and the permits granted so far.
--- a/internal/quota/authority.go
+++ b/internal/quota/authority.go
@@ -88,7 +88,8 @@
 	yieldTimeout = 30 * time.Second
 )
 
-// MaxAttemptsPerRequest bounds the attempts granted to one request, except that a single want may exceed it.
+// MaxAttemptsPerRequest bounds the attempts granted to one request, except that its first want, such as a
+// large gang, may exceed it.
 const MaxAttemptsPerRequest = 256
 
 // Authority grants permits for a team's tree to owners. Its caller tells it which attempts the view of the
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -151,10 +151,11 @@
 
 // Admits reports whether a claim may start now, and if not, the account whose limit prevents it.
 //
-// On every account of the path, the use with the claim has to be within the limit. Below and at the account
-// that guarantees the claim, and everywhere if there is none, the claim also has to leave free what is
-// reserved for claims that come first: what is borrowed is not lent again while its owner asks for it. Above
-// the guaranteeing account, only limits count.
+// On every account of the path, the use with the claim has to be within the limit. The claim also has to
+// leave free what is reserved for claims that come first, so that borrowed use is not lent again while its
+// owner asks for it. This second condition applies from the claim's account up to and including the account
+// that guarantees the claim, or up to the root if there is none. It does not apply at all if the claim's own
+// account guarantees it.
 func (l *Ledger) Admits(c *Claim) (limitedBy string, ok bool) {
 	guaranteedBy := l.guaranteedBy(c.Account, c.Need)
 	account := l.nearestAccount(c.Account)
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -1,7 +1,7 @@
 // Package quota divides a team's share of the cluster among accounts, nested up to MaxDepth levels. It
 // decides which work may start, which work has to stop, and which account may borrow what another does not
-// use. Nothing here does input or output: a Tree holds the operators' settings, a Ledger counts use along the
-// tree's paths, and the decisions are functions of both. docs/design-quotas.md compares the alternatives.
+// use. The package does no input or output: a Tree holds the operators' settings, a Ledger counts use along
+// the tree's paths, and the decisions are functions of both. docs/design-quotas.md compares the alternatives.
 package quota
 
 import (
