--- a/internal/balance/vacate.go
+++ b/internal/balance/vacate.go
@@ -1,6 +1,6 @@
-// Package balance decides what moves when the picture changes: which machines are vacated,
-// their services moved onto others that stay. All of it are pure functions of a snapshot;
-// the leader asks, and owners and holders act.
+// Package balance decides which machines are vacated, that is, whose services are moved to other machines so
+// that they can be returned. All decisions are pure functions of a snapshot; the leader calls them, and owners
+// and holders act on the results.
 package balance
 
 import (
@@ -14,98 +14,96 @@
 )
 
 const (
-	// SettledAfter is for how long a replica is left alone that was started, moved or not:
-	// its cool-off.
+	// SettledAfter is the cool-off of a replica after its start, moved or not: it is not moved earlier.
 	SettledAfter = time.Minute
-	// horizon is for how long a machine is taken to be kept otherwise. Services run for long,
-	// but other work may come for the room.
-	horizon = 2 * time.Minute
-	// away is how long a replica is away for a move to where its image is, give or take: it
-	// is stopped, forgotten and started, each over a command and a report of it.
-	away = 2 * time.Second
-	// dear is what a second of a live replica is worth beside the money that its share of a
+	// keepHorizon is for how long a machine is assumed to be kept if it is not vacated. Services run for
+	// long, but other work may come to use the room.
+	keepHorizon = 2 * time.Minute
+	// moveDowntime is roughly how long a replica is down for a move to a machine that has its image: it
+	// is stopped, forgotten and started, each by a command and a report of it.
+	moveDowntime = 2 * time.Second
+	// downtimeCost is the cost of a second without a replica, as a multiple of what its share of the
 	// machine costs in that time.
-	dear = 10
-	// GrownFor is for how long after machines of a type were rented none of it are vacated:
-	// other work has use for the room then. Moves at such times saved no machine.
-	GrownFor = time.Minute
-	// alike is up to how many times the cost a place costs no more.
-	alike = 1.25
-	// vacatedShare of the fleet, or two machines, are vacated at a time.
-	vacatedShare = 0.02
+	downtimeCost = 10
+	// GrowthCooldown is for how long after machines of a type were rented none of that type are vacated:
+	// other work needs the room then, and moves at such times saved no machine.
+	GrowthCooldown = time.Minute
+	// costTolerance: a place that costs up to this many times as much counts as no more expensive.
+	costTolerance = 1.25
+	// maxVacatedShare is the share of the fleet that is vacated at a time, or two machines if that is more.
+	maxVacatedShare = 0.02
 )
 
-// Vacate chooses machines that are to be emptied: those that only settled services keep,
-// and that others of the fleet have room for, on machines which services keep anyway and
-// which have the images. It is asked after fleet.Plan, so that room that was packed there
-// is not counted on. grew are the types of which machines were rented less than GrownFor
-// ago, vacating those chosen before, which are not given up for less than it took to choose
-// them; afford bounds how many replicas more may be moved.
-func Vacate(in *fleet.Input, grew, vacating map[string]bool, afford int) (chosen []string) {
-	v := plan{in: in, dearFor: placement.DearFor(in.Types), room: map[string]float64{}, count: map[string]int{}, leaves: map[*fleet.Machine]bool{}, takes: map[*fleet.Machine]bool{}}
+// Vacate selects machines to be emptied: those that only settled services keep, and whose services fit on
+// machines that other services keep anyway and that have the images. It is called after fleet.Plan and does not
+// count on room that the plan uses. grown holds the types of which machines were rented less than GrowthCooldown
+// ago. vacating holds the machines selected before; for them the thresholds are lower, so that a move is not
+// given up lightly. moveBudget bounds how many more replicas may be moved.
+func Vacate(in *fleet.Input, grown, vacating map[string]bool, moveBudget int) (chosen []string) {
+	v := plan{in: in, expensiveTypes: placement.ExpensiveTypesCache(in.Types), freeRoom: map[string]float64{}, count: map[string]int{}, emptied: map[*fleet.Machine]bool{}, receives: map[*fleet.Machine]bool{}}
 	for _, m := range in.Machines {
-		if whole := v.whole(m); !m.Booting && !m.Drains {
-			v.room[m.Type] += 1 - min(1, whole.Sub(m.Free).Sub(m.Yields).Share(whole))
+		if capacity := v.capacity(m); !m.Booting && !m.Draining {
+			v.freeRoom[m.Type] += 1 - min(1, capacity.Sub(m.Free).Sub(m.FillerRoom).Share(capacity))
 			v.count[m.Type]++
 		}
 	}
-	var can []*fleet.Machine
+	var candidates []*fleet.Machine
 	for _, m := range in.Machines {
-		// What is being vacated stays in the running while a replica of it is away.
-		// A type on which they cost far more than elsewhere is no place for them, grown or not.
-		if ok := len(m.Live) > 0 || vacating[m.ID]; ok && !m.Booting && !m.Drains && !m.Others && !m.Packed && (!grew[m.Type] || v.dear(m)) && v.worth(m) {
-			can = append(can, m)
+		// A machine that is being vacated stays a candidate while its last replica is away.
+		// Machines on which all services are too expensive are candidates even if their type has grown.
+		if ok := len(m.Replicas) > 0 || vacating[m.ID]; ok && !m.Booting && !m.Draining && !m.OtherTasks && !m.Packed && (!grown[m.Type] || v.allExpensive(m)) && v.worthVacating(m) {
+			candidates = append(candidates, m)
 		}
 	}
-	slices.SortFunc(can, func(a, b *fleet.Machine) int {
+	slices.SortFunc(candidates, func(a, b *fleet.Machine) int {
 		if x, y := vacating[a.ID], vacating[b.ID]; x != y {
 			if x {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(v.wasted(b), v.wasted(a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(v.unusedCost(b), v.unusedCost(a)), cmp.Compare(a.ID, b.ID))
 	})
-	most := max(2, int(vacatedShare*float64(len(in.Machines))))
-	for _, m := range can {
-		if len(chosen) == most {
+	maxVacated := max(2, int(maxVacatedShare*float64(len(in.Machines))))
+	for _, m := range candidates {
+		if len(chosen) == maxVacated {
 			break
 		}
-		begun := vacating[m.ID]
-		if !begun && (len(m.Live) > afford || slices.ContainsFunc(m.Live, func(r fleet.Replica) bool { return r.Ran < SettledAfter })) {
+		continued := vacating[m.ID]
+		if !continued && (len(m.Replicas) > moveBudget || slices.ContainsFunc(m.Replicas, func(r fleet.Replica) bool { return r.RunningFor < SettledAfter })) {
 			continue
 		}
-		if v.takes[m] || !v.dear(m) && v.room[m.Type]-1 < v.kept(m.Type, begun) || !v.move(m) {
+		if v.receives[m] || !v.allExpensive(m) && v.freeRoom[m.Type]-1 < v.reservedRoom(m.Type, continued) || !v.move(m) {
 			continue
 		}
-		if !begun {
-			afford -= len(m.Live)
+		if !continued {
+			moveBudget -= len(m.Replicas)
 		}
 		chosen = append(chosen, m.ID)
 	}
 	return chosen
 }
 
-// plan is a plan of moves while it is made.
+// plan is a set of moves under construction.
 type plan struct {
 	in *fleet.Input
-	// dearFor are the types on which a service costs far more than elsewhere: it is to move
-	// away from them as soon as it can.
-	dearFor func(*protocol.JobSpec) map[string]bool
-	room    map[string]float64 // free, by type, in whole machines
-	count   map[string]int     // machines by type
-	// leaves are those that are to be emptied, takes those that take what was on them.
-	leaves, takes map[*fleet.Machine]bool
+	// expensiveTypes gives the types on which a service costs far more than elsewhere: it is moved away
+	// from them as soon as possible.
+	expensiveTypes func(*protocol.JobSpec) map[string]bool
+	freeRoom       map[string]float64 // by type, in machines
+	count          map[string]int     // machines by type
+	// emptied are the machines to be emptied, receives those that take their services.
+	emptied, receives map[*fleet.Machine]bool
 }
 
-// kept is how much room of a type is kept free for what comes. It takes more to begin
-// than to go on.
-func (v *plan) kept(rig string, begun bool) float64 {
-	kept := max(1, fleet.RoomKept*float64(v.count[rig]))
-	if begun {
-		kept /= 2
+// reservedRoom is how much room of a type is kept free for unexpected work. Less of it is needed to go on
+// vacating a machine than to begin.
+func (v *plan) reservedRoom(machineType string, continued bool) float64 {
+	reserved := max(1, fleet.SpareRoomShare*float64(v.count[machineType]))
+	if continued {
+		reserved /= 2
 	}
-	return kept
+	return reserved
 }
 
 // price is what a machine costs an hour, by its nominal price.
@@ -116,91 +114,91 @@
 	return v.in.Types[m.Type].Price
 }
 
-// whole is the room of a machine without tasks.
-func (v *plan) whole(m *fleet.Machine) protocol.Room {
+// capacity is the room of a machine without tasks.
+func (v *plan) capacity(m *fleet.Machine) protocol.Room {
 	t := v.in.Types[m.Type]
 	return t.Room()
 }
 
-// wasted is what the part of a machine costs that nothing uses.
-func (v *plan) wasted(m *fleet.Machine) float64 {
-	return v.price(m) * m.Free.Share(v.whole(m))
+// unusedCost is what the unused part of a machine costs an hour.
+func (v *plan) unusedCost(m *fleet.Machine) float64 {
+	return v.price(m) * m.Free.Share(v.capacity(m))
 }
 
-// costs is what the part of a machine that a replica takes costs an hour.
-func (v *plan) costs(m *fleet.Machine, s *protocol.JobSpec) float64 {
-	return v.price(m) * s.Need().Share(v.whole(m))
+// replicaCost is what the share of a machine that a replica takes costs an hour.
+func (v *plan) replicaCost(m *fleet.Machine, s *protocol.JobSpec) float64 {
+	return v.price(m) * s.Need().Share(v.capacity(m))
 }
 
-// dear tells whether all replicas on a machine cost far more there than elsewhere.
-func (v *plan) dear(m *fleet.Machine) bool {
-	return len(m.Live) > 0 && !slices.ContainsFunc(m.Live, func(r fleet.Replica) bool { return !v.dearFor(r.Spec)[m.Type] })
+// allExpensive reports whether all replicas on a machine cost far more there than elsewhere.
+func (v *plan) allExpensive(m *fleet.Machine) bool {
+	return len(m.Replicas) > 0 && !slices.ContainsFunc(m.Replicas, func(r fleet.Replica) bool { return !v.expensiveTypes(r.Spec)[m.Type] })
 }
 
-// worth tells whether what a machine costs is more than moving its services does.
-func (v *plan) worth(m *fleet.Machine) bool {
-	gain, cost := v.price(m)*horizon.Seconds(), 0.0
-	whole := v.whole(m)
-	for _, r := range m.Live {
-		lost := away
-		if v.dearFor(r.Spec)[m.Type] {
-			_, fetch := fleet.Ready(v.in.Types, r.Spec, r.Spec.ImageGB)
-			lost += fetch
+// worthVacating reports whether a machine costs more than moving its services does.
+func (v *plan) worthVacating(m *fleet.Machine) bool {
+	gain, cost := v.price(m)*keepHorizon.Seconds(), 0.0
+	capacity := v.capacity(m)
+	for _, r := range m.Replicas {
+		downtime := moveDowntime
+		if v.expensiveTypes(r.Spec)[m.Type] {
+			_, fetch := fleet.FastestReady(v.in.Types, r.Spec, r.Spec.ImageGB)
+			downtime += fetch
 		}
-		cost += v.price(m) * r.Spec.Need().Share(whole) * lost.Seconds() * dear
+		cost += v.price(m) * r.Spec.Need().Share(capacity) * downtime.Seconds() * downtimeCost
 	}
 	return gain > cost
 }
 
-// move finds room for all that is on a machine, if there is, and takes it.
+// move finds room on other machines for all services of a machine and takes it; it takes nothing if there
+// is not enough.
 func (v *plan) move(m *fleet.Machine) bool {
-	var taken []func()
-	undo := func() bool {
-		for _, f := range slices.Backward(taken) {
+	var undos []func()
+	rollback := func() bool {
+		for _, f := range slices.Backward(undos) {
 			f()
 		}
 		return false
 	}
-	for _, r := range m.Live {
+	for _, r := range m.Replicas {
 		var best *fleet.Machine
-		var left float64
-		dear := v.dearFor(r.Spec)
-		// To get away from where it costs far more it may take a fetch, and to get to where it
-		// doesn't a machine that nothing keeps; and it may go to another zone, which its owner
-		// knows.
-		away := dear[m.Type]
+		var bestScore float64
+		expensive := v.expensiveTypes(r.Spec)
+		// To leave an expensive type a replica may fetch its image, take a machine that no service keeps if
+		// that is not expensive, and change its zone; the owner of its job knows this rule.
+		leavesExpensive := expensive[m.Type]
 		for _, t := range v.in.Machines {
-			if t == m || v.leaves[t] || t.Booting || t.Drains || !t.Free.Fits(r.Spec.Need()) || !r.Spec.Allows(t.Type, t.Zone, t.Spot) {
+			if t == m || v.emptied[t] || t.Booting || t.Draining || !t.Free.Fits(r.Spec.Need()) || !r.Spec.Allows(t.Type, t.Zone, t.Spot) {
 				continue
 			}
-			if len(t.Live) == 0 && !(away && !dear[t.Type]) || !away && !slices.Contains(t.Images, r.Spec.Image) || (r.Spec.Scatter && !away || r.Spec.OneZone) && t.Zone != m.Zone {
+			if len(t.Replicas) == 0 && !(leavesExpensive && !expensive[t.Type]) || !leavesExpensive && !slices.Contains(t.Images, r.Spec.Image) || (r.Spec.Scatter && !leavesExpensive || r.Spec.OneZone) && t.Zone != m.Zone {
 				continue
 			}
-			// Nor is a place that costs more: once boxes that a replica fills were emptied into
-			// racks that stayed for it, at four times the price.
-			if v.costs(t, r.Spec) > v.costs(m, r.Spec)*alike {
+			// A place that costs more is no target: boxes filled by a replica were emptied into racks, which
+			// then stayed for it at four times the price.
+			if v.replicaCost(t, r.Spec) > v.replicaCost(m, r.Spec)*costTolerance {
 				continue
 			}
-			// Machines that other work can't do without are no place to move services to.
-			if v.in.Scarce[t.Type] && !v.in.Scarce[m.Type] && placement.RunsOnOthers(r.Spec, v.in.Types, v.in.Scarce) {
+			// Services are not moved to machines that other work cannot do without.
+			if v.in.Scarce[t.Type] && !v.in.Scarce[m.Type] && placement.HasNonScarceType(r.Spec, v.in.Types, v.in.Scarce) {
 				continue
 			}
-			l := t.Free.Sub(r.Spec.Need()).Share(v.whole(t))
+			score := t.Free.Sub(r.Spec.Need()).Share(v.capacity(t))
 			if !slices.Contains(t.Images, r.Spec.Image) {
-				l++
+				score++
 			}
-			if best == nil || l < left {
-				best, left = t, l
+			if best == nil || score < bestScore {
+				best, bestScore = t, score
 			}
 		}
 		if best == nil {
-			return undo()
+			return rollback()
 		}
-		free, took := best.Free, v.takes[best]
-		taken = append(taken, func() { best.Free, v.takes[best] = free, took })
-		best.Free, v.takes[best] = free.Sub(r.Spec.Need()), true
+		free, took := best.Free, v.receives[best]
+		undos = append(undos, func() { best.Free, v.receives[best] = free, took })
+		best.Free, v.receives[best] = free.Sub(r.Spec.Need()), true
 	}
-	v.leaves[m] = true
-	v.room[m.Type]--
+	v.emptied[m] = true
+	v.freeRoom[m.Type]--
 	return true
 }
--- a/internal/balance/vacate_test.go
+++ b/internal/balance/vacate_test.go
@@ -29,17 +29,17 @@
 				Scatter: rapid.Bool().Draw(t, "scatter")}
 			m.Free, m.Used, m.Pinned = m.Free.Sub(s.Need()), true, true
 			m.Images = append(m.Images, s.Image)
-			m.Live = append(m.Live, fleet.Replica{Spec: s, Ran: time.Duration(rapid.IntRange(0, 100).Draw(t, "ran")) * time.Second})
+			m.Replicas = append(m.Replicas, fleet.Replica{Spec: s, RunningFor: time.Duration(rapid.IntRange(0, 100).Draw(t, "ran")) * time.Second})
 		}
-		m.Others = len(m.Live) < 4 && rapid.IntRange(0, 5).Draw(t, "others") == 0
+		m.OtherTasks = len(m.Replicas) < 4 && rapid.IntRange(0, 5).Draw(t, "others") == 0
 		in.Machines = append(in.Machines, m)
 	}
 	return in
 }
 
-// Whatever the fleet, a plan moves nothing that has not settled or that the budget has no room for,
-// empties no machine that takes what others lose, and finds room for all of it.
-func TestVacatePlansHold(t *testing.T) {
+// For any fleet a plan moves no replica that has not settled and no more than the budget allows, empties no
+// machine that receives replicas, and finds room for all replicas that it moves.
+func TestVacatePlanIsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := fleetOf(t)
 		free := map[string]protocol.Room{}
@@ -47,31 +47,31 @@
 		for _, m := range in.Machines {
 			free[m.ID], byID[m.ID] = m.Free, m
 		}
-		afford := rapid.IntRange(0, 12).Draw(t, "afford")
-		chosen := Vacate(in, nil, nil, afford)
+		moveBudget := rapid.IntRange(0, 12).Draw(t, "move budget")
+		chosen := Vacate(in, nil, nil, moveBudget)
 		moved, taken := 0, protocol.Room{}
 		leaves := map[string]bool{}
 		for _, id := range chosen {
 			leaves[id] = true
-			for _, r := range byID[id].Live {
+			for _, r := range byID[id].Replicas {
 				moved++
 				taken = taken.Add(r.Spec.Need())
-				if r.Ran < SettledAfter {
-					t.Fatalf("%s moves after %v", r.Spec.ID, r.Ran)
+				if r.RunningFor < SettledAfter {
+					t.Fatalf("%s moves after %v", r.Spec.ID, r.RunningFor)
 				}
 			}
-			if byID[id].Others {
-				t.Fatalf("%s has work of others", id)
+			if byID[id].OtherTasks {
+				t.Fatalf("%s has tasks of other jobs", id)
 			}
 		}
-		if moved > afford {
-			t.Fatalf("%d moves of %d", moved, afford)
+		if moved > moveBudget {
+			t.Fatalf("%d moves with a budget of %d", moved, moveBudget)
 		}
 		given := protocol.Room{}
 		for _, m := range in.Machines {
 			if m.Free != free[m.ID] {
 				if leaves[m.ID] {
-					t.Fatalf("%s is emptied and takes others' services", m.ID)
+					t.Fatalf("%s is emptied and receives services", m.ID)
 				}
 				if !m.Free.Fits(protocol.Room{}) {
 					t.Fatalf("%s is overfull: %v", m.ID, m.Free)
@@ -80,24 +80,24 @@
 			}
 		}
 		if d := given.Sub(taken); d.Cores > 1e-9 || d.Cores < -1e-9 {
-			t.Fatalf("%v leave and find %v of room", taken, given)
+			t.Fatalf("services with %v are moved to room of %v", taken, given)
 		}
 	})
 }
 
-// The same snapshot twice plans the same, and a plan once carried out leaves less to do each
-// time until nothing is: services don't go round in circles.
-func TestVacatingEnds(t *testing.T) {
+// The same snapshot twice gives the same plan, and once a plan is carried out there is less to do each time
+// until there is nothing: services are not moved in circles.
+func TestVacateConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := fleetOf(t)
 		for _, m := range in.Machines {
-			for k := range m.Live {
-				m.Live[k].Ran = time.Hour
+			for k := range m.Replicas {
+				m.Replicas[k].RunningFor = time.Hour
 			}
 		}
 		for round := 0; ; round++ {
 			if round > 2*len(in.Machines) {
-				t.Fatal("it does not end")
+				t.Fatal("plans do not converge")
 			}
 			copied := *in
 			copied.Machines = nil
@@ -113,12 +113,12 @@
 			if len(first) == 0 {
 				return
 			}
-			// It is carried out: the machines go, others take what they had.
+			// Carry the plan out: the emptied machines go, others receive their services.
 			var left []*fleet.Machine
 			for i, m := range copied.Machines {
 				if n := in.Machines[i]; m.Free != n.Free {
-					m.Live = append(m.Live[:len(m.Live):len(m.Live)], fleet.Replica{Spec: &protocol.JobSpec{ID: "wk-moved", Shape: protocol.Service, Tasks: 1, Cores: n.Free.Sub(m.Free).Cores,
-						Accels: n.Free.Sub(m.Free).Accels, RAM: n.Free.Sub(m.Free).RAM, Image: "x"}, Ran: time.Hour})
+					m.Replicas = append(m.Replicas[:len(m.Replicas):len(m.Replicas)], fleet.Replica{Spec: &protocol.JobSpec{ID: "wk-moved", Shape: protocol.Service, Tasks: 1, Cores: n.Free.Sub(m.Free).Cores,
+						Accels: n.Free.Sub(m.Free).Accels, RAM: n.Free.Sub(m.Free).RAM, Image: "x"}, RunningFor: time.Hour})
 				}
 			}
 			for _, m := range copied.Machines {
@@ -135,7 +135,7 @@
 	})
 }
 
-// A few snapshots that people can read.
+// Readable snapshots, one for each rule.
 func TestVacate(t *testing.T) {
 	type given struct {
 		live    int
@@ -154,22 +154,22 @@
 		afford int
 		want   string
 	}{
-		{name: "a shrunk fleet comes together", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m0]"},
-		{name: "two at a time at most", fleet: []given{{live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}}, afford: 9, want: "[m0 m2]"},
-		{name: "too little room is left", fleet: []given{{live: 3}, {live: 3}, {live: 3}}, afford: 9, want: "[]"},
-		{name: "nothing while the type grows", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, grew: true, afford: 9, want: "[]"},
-		{name: "what moved lately stays", fleet: []given{{live: 1, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}}, afford: 9, want: "[]"},
-		{name: "the budget is spent", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, afford: 0, want: "[]"},
-		{name: "what was begun goes on without it", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, begun: []string{"m0"}, afford: 0, want: "[m0]"},
-		{name: "a machine with other work empties by itself or not at all", fleet: []given{{live: 1, others: true}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m1]"},
-		{name: "room that others are to have is no place to go", fleet: []given{{live: 1, packed: true}, {live: 2, packed: true}, {live: 2, packed: true}, {live: 2, packed: true}}, afford: 9, want: "[]"},
-		{name: "only where the image is", fleet: []given{{live: 1, image: "odd"}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m1]"},
-		{name: "spread over zones, it stays in its own", fleet: []given{{live: 1, scatter: true}, {live: 2, zone: "b", scatter: true}, {live: 2, zone: "b", scatter: true}, {live: 2, zone: "b", scatter: true}}, afford: 9, want: "[m1]"},
+		{name: "a half-empty fleet is consolidated", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m0]"},
+		{name: "at most two machines at a time", fleet: []given{{live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}}, afford: 9, want: "[m0 m2]"},
+		{name: "too little room elsewhere", fleet: []given{{live: 3}, {live: 3}, {live: 3}}, afford: 9, want: "[]"},
+		{name: "nothing while the type has grown", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, grew: true, afford: 9, want: "[]"},
+		{name: "recently moved replicas stay", fleet: []given{{live: 1, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}}, afford: 9, want: "[]"},
+		{name: "no move budget", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, afford: 0, want: "[]"},
+		{name: "a machine being vacated goes on without a budget", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, begun: []string{"m0"}, afford: 0, want: "[m0]"},
+		{name: "a machine with other tasks is not vacated", fleet: []given{{live: 1, others: true}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m1]"},
+		{name: "room that the plan uses is not counted on", fleet: []given{{live: 1, packed: true}, {live: 2, packed: true}, {live: 2, packed: true}, {live: 2, packed: true}}, afford: 9, want: "[]"},
+		{name: "only to machines with the image", fleet: []given{{live: 1, image: "odd"}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m1]"},
+		{name: "a replica of a scattered service stays in its zone", fleet: []given{{live: 1, scatter: true}, {live: 2, zone: "b", scatter: true}, {live: 2, zone: "b", scatter: true}, {live: 2, zone: "b", scatter: true}}, afford: 9, want: "[m1]"},
 	} {
 		in := &fleet.Input{Types: types, Scarce: map[string]bool{}}
 		for k, g := range c.fleet {
 			box := types["box"]
-			m := &fleet.Machine{ID: fmt.Sprintf("m%d", k), Type: "box", Zone: g.zone, Others: g.others, Packed: g.packed, Free: box.Room()}
+			m := &fleet.Machine{ID: fmt.Sprintf("m%d", k), Type: "box", Zone: g.zone, OtherTasks: g.others, Packed: g.packed, Free: box.Room()}
 			if m.Zone == "" {
 				m.Zone = "a"
 			}
@@ -182,7 +182,7 @@
 			m.Images = []string{g.image}
 			for range g.live {
 				s := &protocol.JobSpec{Shape: protocol.Service, Cores: 2, Accels: 1, RAM: 8, Image: g.image, Scatter: g.scatter}
-				m.Live, m.Free = append(m.Live, fleet.Replica{Spec: s, Ran: g.ran}), m.Free.Sub(s.Need())
+				m.Replicas, m.Free = append(m.Replicas, fleet.Replica{Spec: s, RunningFor: g.ran}), m.Free.Sub(s.Need())
 			}
 			in.Machines = append(in.Machines, m)
 		}
@@ -196,21 +196,21 @@
 	}
 }
 
-// Services move from where they cost far more than elsewhere, also to machines that nothing
-// keeps and that lack their image, and never to where they cost more than where they are. Once
-// boxes that a replica fills were emptied into racks with room, which stayed for them.
-func TestServicesMoveToCheaperPlaces(t *testing.T) {
+// Services move away from types on which they cost far more than elsewhere, even to machines that no service
+// keeps and that lack their image, and never to a place that costs more than theirs. Boxes that a replica fills
+// were emptied into racks with room, which stayed for them.
+func TestServicesMoveToCheaperMachines(t *testing.T) {
 	small := map[string]protocol.MachineType{
 		"box":  {Name: "box", Cores: 4, RAM: 16, Price: 1, FetchRate: 1, BootS: 20, Zones: []string{"a"}},
 		"rack": {Name: "rack", Cores: 64, Accels: 8, RAM: 512, Price: 80, FetchRate: 1, BootS: 20, Zones: []string{"a"}},
 	}
 	replica := func(id string) fleet.Replica {
-		return fleet.Replica{Spec: &protocol.JobSpec{ID: id, Shape: protocol.Service, Tasks: 2, Cores: 4, RAM: 8, Image: "x", ImageGB: 1}, Ran: time.Hour}
+		return fleet.Replica{Spec: &protocol.JobSpec{ID: id, Shape: protocol.Service, Tasks: 2, Cores: 4, RAM: 8, Image: "x", ImageGB: 1}, RunningFor: time.Hour}
 	}
-	machine := func(id, rig string, live ...fleet.Replica) *fleet.Machine {
-		kind := small[rig]
-		m := &fleet.Machine{ID: id, Type: rig, Zone: "a", Free: kind.Room(), Live: live, Pinned: len(live) > 0, Used: len(live) > 0, Images: []string{"x"}}
-		for _, r := range live {
+	machine := func(id, machineType string, replicas ...fleet.Replica) *fleet.Machine {
+		whole := small[machineType]
+		m := &fleet.Machine{ID: id, Type: machineType, Zone: "a", Free: whole.Room(), Replicas: replicas, Pinned: len(replicas) > 0, Used: len(replicas) > 0, Images: []string{"x"}}
+		for _, r := range replicas {
 			m.Free = m.Free.Sub(r.Spec.Need())
 		}
 		return m
@@ -220,14 +220,14 @@
 	}
 	if got := vacated(machine("b1", "box", replica("wk-1")), machine("b2", "box", replica("wk-2")), machine("b3", "box", replica("wk-3")),
 		machine("r1", "rack", replica("wk-4"))); len(got) > 0 {
-		t.Errorf("%v are emptied into a rack", got)
+		t.Errorf("%v were emptied into a rack", got)
 	}
 	fresh := machine("b9", "box")
 	fresh.Images = nil
 	if got := vacated(machine("r1", "rack", replica("wk-4")), fresh); !slices.Equal(got, []string{"r1"}) {
-		t.Errorf("%v are emptied, not the rack", got)
+		t.Errorf("%v were emptied, want the rack", got)
 	}
 	if got := vacated(machine("r1", "rack", replica("wk-4"), replica("wk-5")), fresh); len(got) > 0 {
-		t.Errorf("%v are emptied for want of one more box", got)
+		t.Errorf("%v were emptied although one more box is needed", got)
 	}
 }
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,6 +1,5 @@
-// Package board is what a controller knows of all machines and of what may be
-// on them, put together from their holders' news: the snapshot that placing and
-// renting are decided by.
+// Package board is a controller's view of the cluster: all machines and the tasks that may be on them,
+// assembled from the news of the machines' holders. Placement and renting are decided on this snapshot.
 package board
 
 import (
@@ -10,54 +9,50 @@
 	"daledyke/internal/protocol"
 )
 
-// Board is what a controller knows of all machines and of what may be on
-// them, put together from their holders' news. It has one owner (an actor),
-// who alone changes it. Nothing leaves it on silence: what may be on a machine
-// stays until its holder's believed reports lack it or the machine is gone
+// Board is a controller's view of all machines and of the tasks that may be on them, assembled from the news
+// of the machines' holders. A single actor owns and changes it. Silence never removes anything from it: a task
+// that may be on a machine stays until its holder's believed reports lack it or the machine is gone
 // (docs/design.md, invariants 3 and 4).
 type Board struct {
-	// Machines by their names.
+	// Machines by their ids.
 	Machines map[string]*Machine
 	// Slots by their numbers.
 	Slots map[int]*Slot
-	// Tasks by job and task index. There is one instance of a task, or none,
-	// unless something went wrong.
+	// Tasks by job and task index. A task has at most one instance unless something went wrong.
 	Tasks map[string]map[int][]*Instance
-	// StartsLastFor is how long a command to start may be on its way: so long a task that was about to
-	// be started when its machine changed hands is kept as lost there, unless it is seen.
-	StartsLastFor time.Duration
+	// StartCommandLifetime is how long a start command may be in transit. A task that was about to be
+	// started when its machine changed hands is kept as lost there for that long, unless it is seen.
+	StartCommandLifetime time.Duration
 }
 
-// Machine is a machine as its holder last showed it.
+// Machine is a machine as its holder last reported it.
 type Machine struct {
 	MachineView
-	// Holder is the controller that showed it.
+	// Holder is the controller that reported it.
 	Holder string
 	// Current: the view was made under the slot's newest term.
 	Current    bool
 	EmptySince time.Time // zero while there are tasks
-	// Known is when it was first shown here.
-	Known     time.Time
+	// FirstSeen is when the machine was first reported here.
+	FirstSeen     time.Time
 	Instances []*Instance
-	// Promised is the room of starts asked for that the view doesn't show.
-	Promised protocol.Room
+	// RequestedRoom is the room of requested starts that the view does not show yet.
+	RequestedRoom protocol.Room
 }
 
-// Slot is a share of the workers, as its newest holder shows it.
+// Slot is one partition of the workers, as its newest holder reports it.
 type Slot struct {
 	Term     uint64
 	Holder   string
 	Complete bool
 	Awaited  []string
-	// Version is that of the holder's last reply that had the slot.
+	// Version is that of the holder's last reply that included the slot.
 	Version uint64
-	// Asked is when that reply was asked for.
-	Asked time.Time
-	// Window is the newest window that the holder obeyed when it last said
-	// that the slot is complete.
+	// RequestedAt is when that reply was requested.
+	RequestedAt time.Time
+	// Window is the newest window that the holder obeyed when it last reported the slot as complete.
 	Window uint64
-	// Machines are those of the slot; stale tells that some of them were last
-	// shown under an older term.
+	// Machines are those of the slot; stale: some of them were last reported under an older term.
 	Machines map[string]*Machine
 	stale    bool
 }
@@ -65,13 +60,14 @@
 // Instance is a task that may be on a machine.
 type Instance struct {
 	TaskView
-	Job     string
-	Index   int
-	Machine *Machine
-	Since   time.Time
-	Ran     time.Time // since when it is seen to run
-	Asked   time.Time // when a stop or forget was last asked for
-	// lostUntil is until when it is kept though its machine's holder does not show it; zero: it does.
+	Job             string
+	Index           int
+	Machine         *Machine
+	FirstSeen       time.Time
+	RunningSince    time.Time // when it was first seen to run
+	StopRequestedAt time.Time // when a stop or forget was last requested
+	// lostUntil is until when the instance is kept although its machine's holder does not report it;
+	// zero if the holder does.
 	lostUntil time.Time
 }
 
@@ -80,12 +76,11 @@
 	return &Board{Machines: map[string]*Machine{}, Slots: map[int]*Slot{}, Tasks: map[string]map[int][]*Instance{}}
 }
 
-// Apply takes in a holder's news and tells which jobs it touches. What was
-// made under an older term of a slot is passed over. asked is when the news were
-// asked for.
-func (b *Board) Apply(holder string, r *News, asked, now time.Time) (touched map[string]bool) {
+// Apply takes in a holder's news, requested at requestedAt, and returns the jobs whose tasks it touches. What
+// was made under an older term of a slot is ignored.
+func (b *Board) Apply(holder string, news *News, requestedAt, now time.Time) (touched map[string]bool) {
 	touched = map[string]bool{}
-	for _, sv := range r.Slots {
+	for _, sv := range news.Slots {
 		s := b.Slots[sv.Slot]
 		if s == nil {
 			s = &Slot{Machines: map[string]*Machine{}}
@@ -100,37 +95,37 @@
 				m.Current = false
 			}
 		}
-		s.Holder, s.Complete, s.Awaited, s.Version, s.Asked = holder, sv.Complete, sv.Awaited, r.Version, asked
+		s.Holder, s.Complete, s.Awaited, s.Version, s.RequestedAt = holder, sv.Complete, sv.Awaited, news.Version, requestedAt
 		if sv.Complete {
-			s.Window = max(s.Window, r.Window)
+			s.Window = max(s.Window, news.Window)
 		}
 	}
 	var inReply map[string]bool
-	if r.Full {
-		inReply = make(map[string]bool, len(r.Machines))
+	if news.Full {
+		inReply = make(map[string]bool, len(news.Machines))
 	}
-	// A machine that was dropped may have come back since: then it is shown, too.
-	for _, id := range r.Gone {
+	// A machine that was dropped may have returned since: then it is in news.Machines, too.
+	for _, id := range news.Gone {
 		b.Remove(id, touched)
 	}
-	for _, v := range r.Machines {
+	for _, v := range news.Machines {
 		s := b.Slots[v.Slot]
 		if s == nil || v.Term < s.Term {
 			continue
 		}
-		if r.Full {
+		if news.Full {
 			inReply[v.ID] = true
 		}
-		b.put(holder, v, now, touched)
+		b.applyMachine(holder, v, now, touched)
 	}
-	for _, sv := range r.Slots {
+	for _, sv := range news.Slots {
 		s := b.Slots[sv.Slot]
-		if !sv.Complete || sv.Term != s.Term || !r.Full && !s.stale {
+		if !sv.Complete || sv.Term != s.Term || !news.Full && !s.stale {
 			continue
 		}
-		// All that may be there is known: what is not is gone.
+		// The slot is complete: a machine that is not reported is gone.
 		for id, m := range s.Machines {
-			if !m.Current || r.Full && !inReply[id] {
+			if !m.Current || news.Full && !inReply[id] {
 				b.Remove(id, touched)
 			}
 		}
@@ -139,10 +134,10 @@
 	return touched
 }
 
-func (b *Board) put(holder string, v MachineView, now time.Time, touched map[string]bool) {
+func (b *Board) applyMachine(holder string, v MachineView, now time.Time, touched map[string]bool) {
 	m := b.Machines[v.ID]
 	if m == nil {
-		m = &Machine{Known: now}
+		m = &Machine{FirstSeen: now}
 		b.Machines[v.ID] = m
 		b.Slots[v.Slot].Machines[v.ID] = m
 	}
@@ -156,47 +151,47 @@
 		if !ok {
 			continue
 		}
-		n := &Instance{TaskView: t, Job: job, Index: index, Machine: m, Since: now}
+		n := &Instance{TaskView: t, Job: job, Index: index, Machine: m, FirstSeen: now}
 		for _, o := range old {
 			if o.Task == t.Task && o.Attempt == t.Attempt {
-				n.Since, n.Asked, n.Ran = o.Since, o.Asked, o.Ran
+				n.FirstSeen, n.StopRequestedAt, n.RunningSince = o.FirstSeen, o.StopRequestedAt, o.RunningSince
 				if o.State != t.State {
-					n.Asked = time.Time{}
+					n.StopRequestedAt = time.Time{}
 				}
 			}
 		}
-		if n.Running() && n.Ran.IsZero() {
-			n.Ran = now
+		if n.Running() && n.RunningSince.IsZero() {
+			n.RunningSince = now
 		}
 		b.link(n, touched)
 	}
 	m.Tasks = nil
 	for _, o := range old {
-		if until := b.keptUntil(o, handedOver, now); now.Before(until) && !m.has(o.Task) {
+		if until := b.keepUntil(o, handedOver, now); now.Before(until) && !m.hasTask(o.Task) {
 			lost := TaskView{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskExited, Cause: CauseLost}
-			b.link(&Instance{TaskView: lost, Job: o.Job, Index: o.Index, Machine: m, Since: o.Since, Asked: o.Asked, lostUntil: until}, touched)
+			b.link(&Instance{TaskView: lost, Job: o.Job, Index: o.Index, Machine: m, FirstSeen: o.FirstSeen, StopRequestedAt: o.StopRequestedAt, lostUntil: until}, touched)
 		}
 	}
-	m.noteEmpty(now)
+	m.updateEmptySince(now)
 }
 
-// keptUntil is until when an instance is kept that its machine's newest view may lack, after the
-// machine changed hands or not. A command of the former holder's to start it may be on its way: the
-// new holder's token voids it, unless the machine begins anew and forgets the token.
-func (b *Board) keptUntil(i *Instance, handedOver bool, now time.Time) time.Time {
+// keepUntil is until when to keep an instance that its machine's newest view may lack; handedOver tells whether
+// the machine changed hands. The former holder's start command may still be in transit: the new holder's token
+// voids it, unless the machine restarts and forgets the token.
+func (b *Board) keepUntil(i *Instance, handedOver bool, now time.Time) time.Time {
 	if handedOver && i.State == TaskStarting {
-		return now.Add(b.StartsLastFor)
+		return now.Add(b.StartCommandLifetime)
 	}
 	return i.lostUntil
 }
 
-// has tells whether an instance of a task is shown on the machine.
-func (m *Machine) has(task string) bool {
+// hasTask reports whether the machine has an instance of a task.
+func (m *Machine) hasTask(task string) bool {
 	return slices.ContainsFunc(m.Instances, func(i *Instance) bool { return i.Task == task })
 }
 
-// noteEmpty notes since when nothing is on the machine.
-func (m *Machine) noteEmpty(now time.Time) {
+// updateEmptySince records since when the machine has had no instance.
+func (m *Machine) updateEmptySince(now time.Time) {
 	switch {
 	case len(m.Instances) > 0:
 		m.EmptySince = time.Time{}
@@ -205,18 +200,18 @@
 	}
 }
 
-// DropLost drops the instances that were kept as lost for long enough, and tells of which jobs.
-func (b *Board) DropLost(now time.Time) (touched map[string]bool) {
+// ExpireLost drops lost instances that were kept for long enough, and returns the jobs that they belong to.
+func (b *Board) ExpireLost(now time.Time) (touched map[string]bool) {
 	touched = map[string]bool{}
 	for _, m := range b.Machines {
 		m.Instances = slices.DeleteFunc(m.Instances, func(i *Instance) bool {
-			over := !i.lostUntil.IsZero() && !now.Before(i.lostUntil)
-			if over {
+			expired := !i.lostUntil.IsZero() && !now.Before(i.lostUntil)
+			if expired {
 				b.unlink(i, touched)
 			}
-			return over
+			return expired
 		})
-		m.noteEmpty(now)
+		m.updateEmptySince(now)
 	}
 	return touched
 }
@@ -250,7 +245,7 @@
 	touched[i.Job] = true
 }
 
-// Remove takes a machine that is known to be gone away with all that was on it.
+// Remove drops a machine that is known to be gone, with all its instances.
 func (b *Board) Remove(id string, touched map[string]bool) {
 	m := b.Machines[id]
 	if m == nil {
@@ -263,15 +258,14 @@
 	delete(b.Slots[m.Slot].Machines, id)
 }
 
-// Shows tells whether the board shows a slot as a view of it does: not if a newer holder's view came
-// before.
-func (b *Board) Shows(v *SlotView) bool {
+// MatchesTerm reports whether the board has a slot under the term of the view; it does not if a newer holder's
+// view was applied before.
+func (b *Board) MatchesTerm(v *SlotView) bool {
 	s := b.Slots[v.Slot]
 	return s != nil && s.Term == v.Term
 }
 
-// AllComplete tells whether every slot is fully known from holders that obey
-// at least this window.
+// AllComplete reports whether every slot is fully known from holders that obey at least the given window.
 func (b *Board) AllComplete(slots int, window uint64) bool {
 	for s := range slots {
 		if x := b.Slots[s]; x == nil || !x.Complete || x.Window < window {
--- a/internal/coordination/blame.go
+++ b/internal/coordination/blame.go
@@ -30,12 +30,12 @@
 
 // judge brings up to date what is thought of a machine.
 func (h *Holder) judge(w *worker) {
-	var by []placement.Opinion
+	var by []placement.Verdict
 	for job := range w.errorsBy {
 		j, o := h.jobs[job], h.opinions[job]
 		switch {
 		case j != nil && j.State == protocol.Done:
-			o = placement.Innocent
+			o = placement.NotAtFault
 		case j != nil && j.Final():
 			delete(w.errorsBy, job) // cancelled: it will never be known
 			continue
@@ -62,7 +62,7 @@
 }
 
 // hearOpinion takes in what is thought of a job.
-func (h *Holder) hearOpinion(job string, o placement.Opinion) {
+func (h *Holder) hearOpinion(job string, o placement.Verdict) {
 	if j := h.jobs[job]; j == nil || j.Final() {
 		return
 	}
@@ -98,7 +98,7 @@
 			continue
 		}
 		was := js.opinion
-		if was == placement.Innocent {
+		if was == placement.NotAtFault {
 			continue
 		}
 		js.opinion = placement.JudgeJob(js.badOn, o.succeeded(js, now))
@@ -107,7 +107,7 @@
 		}
 		if js.opinion == placement.AtFault {
 			slog.Info("job fails everywhere", "job", id, "machines", len(js.badOn))
-			js.trials, js.trialAt = 0, now.Add(placement.TrialAfter)
+			js.trials, js.trialAt = 0, now.Add(placement.MinRetryBackoff)
 		} else if was == placement.AtFault {
 			slog.Info("job fails no longer", "job", id)
 		}
@@ -123,7 +123,7 @@
 	}
 	for _, list := range o.board.Tasks[js.job.Spec.ID] {
 		for _, i := range list {
-			if i.Exited() && i.Cause == protocol.CauseDone || i.Running() && now.Sub(i.Ran) >= placement.ProvenAfter {
+			if i.Exited() && i.Cause == protocol.CauseDone || i.Running() && now.Sub(i.RunningSince) >= placement.ProvenAfter {
 				return true
 			}
 		}
@@ -151,6 +151,6 @@
 
 // tried puts the next trial off.
 func (js *jobState) tried(now time.Time) {
-	js.trialAt = now.Add(placement.NextTrial(js.trials))
+	js.trialAt = now.Add(placement.RetryBackoff(js.trials))
 	js.trials++
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -85,7 +85,7 @@
 		k.holder.announcers = append(k.holder.announcers, peer)
 	}
 	k.owner = NewOwner(ctx, c, k.session, k.store, holders, k.foundOver,
-		func(job string, op placement.Opinion) { k.holder.tell(func() { k.holder.hearOpinion(job, op) }) }, lenders)
+		func(job string, op placement.Verdict) { k.holder.tell(func() { k.holder.hearOpinion(job, op) }) }, lenders)
 	k.owner.misrouted = func(s board.Stray, told bool, heard time.Time) {
 		k.holder.tell(func() { k.holder.noteMisrouted(s, told, heard) })
 	}
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -90,7 +90,7 @@
 			t.Errorf("%+v", rq["c1"])
 		}
 		for _, m := range o.board.Machines {
-			m.Promised = protocol.Room{}
+			m.RequestedRoom = protocol.Room{}
 		}
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	// One that an urgent job needs is as urgent, as who asks and as who may go.
 	needed := func(j *bookkeeping.Job) *bookkeeping.Job { j.Rank = 2; return j }
-	if !o.claim(job("free", "idle"), use).Guaranteed || o.claim(job("bound", "idle"), use).Guaranteed {
+	if !o.claim(job("free", "idle"), use).WithinGuarantee || o.claim(job("bound", "idle"), use).WithinGuarantee {
 		t.Error("4 of 8 cores leave room for 4 more; 8 of 4 don't")
 	}
 	for _, x := range []struct {
@@ -161,7 +161,7 @@
 		{job("free", "normal"), needed(job("free", "idle")), true},
 		{needed(job("free", "idle")), job("free", "high"), false},
 	} {
-		if got := placement.MayStop(o.claim(x.victim, use), o.claim(x.by, use)); got != x.want {
+		if got := placement.MayPreempt(o.claim(x.victim, use), o.claim(x.by, use)); got != x.want {
 			t.Errorf("%d of %s for %d of %s: %v", x.victim.Rank, x.victim.Spec.Team, x.by.Rank, x.by.Spec.Team, got)
 		}
 	}
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -109,7 +109,7 @@
 
 // fleetMachine is a machine as plans for the fleet see it.
 func (o *Owner) fleetMachine(id string, m *board.Machine, now time.Time) *fleet.Machine {
-	f := &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: m.Free, Used: len(m.Instances) > 0, Fresh: now.Sub(m.Known) < fleet.FreshFor, Images: m.Images}
+	f := &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: m.Free, Used: len(m.Instances) > 0, Fresh: now.Sub(m.FirstSeen) < fleet.FreshFor, Images: m.Images}
 	for _, i := range m.Instances {
 		if js := o.jobs[i.Job]; js != nil && !i.Exited() {
 			addUse(f, js.job, i, now)
@@ -127,16 +127,16 @@
 		f.Pinned = true
 		r := fleet.Replica{Spec: j.Spec}
 		if i.Running() {
-			r.Ran = now.Sub(i.Ran)
+			r.RunningFor = now.Sub(i.RunningSince)
 		}
-		f.Live = append(f.Live, r)
+		f.Replicas = append(f.Replicas, r)
 	} else {
-		f.Others = true
+		f.OtherTasks = true
 	}
 	if j.Filler {
-		f.Yields = f.Yields.Add(j.Spec.Need())
+		f.FillerRoom = f.FillerRoom.Add(j.Spec.Need())
 	}
-	f.ByRank[j.Rank] = f.ByRank[j.Rank].Add(j.Spec.Need())
+	f.RoomByRank[j.Rank] = f.RoomByRank[j.Rank].Add(j.Spec.Need())
 }
 
 // doubtAfter is for how long a controller may not have been heard of before nothing is
@@ -187,19 +187,19 @@
 		if missing <= 0 {
 			continue
 		}
-		if _, fetch := fleet.Ready(o.types, s, s.ImageGB); fetch > 0 && s.Shape != protocol.Service {
-			n := min(missing, placement.Hold(o.cfg.Patience, rates[s.Image], ahead[s.Image], fetch, now.Sub(js.job.Ready), o.within(s.Class, time.Minute)))
+		if _, fetch := fleet.FastestReady(o.types, s, s.ImageGB); fetch > 0 && s.Shape != protocol.Service {
+			n := min(missing, placement.TasksToDelay(o.cfg.Patience, rates[s.Image], ahead[s.Image], fetch, now.Sub(js.job.Ready), o.within(s.Class, time.Minute)))
 			ahead[s.Image] += n
 			if missing -= n; missing <= 0 {
 				continue // room where their image is comes sooner than a machine
 			}
 		}
 		if s.Shape == protocol.Array && o.within(s.Class, 0) == 0 {
-			ready, _ := fleet.Ready(o.types, s, s.ImageGB)
-			missing = fleet.InTurn(missing, s.Estimate(), o.finish(js).Sub(now)-ready)
+			ready, _ := fleet.FastestReady(o.types, s, s.ImageGB)
+			missing = fleet.ConcurrentTasks(missing, s.Estimate(), o.finish(js).Sub(now)-ready)
 		}
-		out = append(out, fleet.Demand{Spec: s, Raised: js.job.Rank, Count: missing, Filler: js.job.Filler,
-			Left: max(0, o.within(s.Class, time.Hour)-now.Sub(js.job.Ready)), ZoneLeft: o.zoneLeft(s, zones)})
+		out = append(out, fleet.Demand{Spec: s, RaisedRank: js.job.Rank, Count: missing, Filler: js.job.Filler,
+			TimeLeft: max(0, o.within(s.Class, time.Hour)-now.Sub(js.job.Ready)), ZoneLeft: o.zoneLeft(s, zones)})
 	}
 	return append(out, o.spares(now, started)...)
 }
@@ -239,14 +239,14 @@
 // spares are what is kept ready for urgent work that is expected to come.
 func (o *Owner) spares(now, started time.Time) (out []fleet.Demand) {
 	for name, c := range o.classes {
-		if c.Spec.Priority.Rank() < placement.Preempts {
+		if c.Spec.Priority.Rank() < placement.MinPreemptingRank {
 			continue // other work of its kind would be in it at once
 		}
-		n, preempt := fleet.Spare(c, o.types, o.within(name, math.MaxInt64), o.cfg.Spare, now, started)
+		n, preempt := fleet.SpareTasks(c, o.types, o.within(name, math.MaxInt64), o.cfg.Spare, now, started)
 		if n <= 0 {
 			continue
 		}
-		d := fleet.Demand{Spec: c.Spec, Count: n, Spare: true, Preempt: preempt, Left: time.Hour}
+		d := fleet.Demand{Spec: c.Spec, Count: n, Spare: true, AllowPreemption: preempt, TimeLeft: time.Hour}
 		if c.Spec.Scatter {
 			d.ZoneLeft = map[string]int{}
 			for _, z := range o.cfg.Deployment.Zones {
@@ -289,7 +289,7 @@
 				rate += 1 / e.Mean.Seconds()
 			}
 		}
-		rate /= float64(placement.Wanted(m, wanted))
+		rate /= float64(placement.CountWanted(m, wanted))
 		for _, image := range m.Images {
 			if rate > 0 && !slices.Contains(m.Pulling, image) {
 				rates[image] += rate
@@ -324,5 +324,5 @@
 		c = &fleet.Class{}
 		o.classes[s.Class] = c
 	}
-	c.Arrive(s, js.job.Ready)
+	c.RecordArrivals(s, js.job.Ready)
 }
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -109,7 +109,7 @@
 	}
 	v.Sound = time.Since(w.soundAt) < placement.SoundFor
 	for job := range w.errorsBy {
-		if len(v.Failed) < placement.MaxFailed {
+		if len(v.Failed) < placement.MaxFailedJobs {
 			v.Failed = append(v.Failed, job)
 		}
 	}
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -22,13 +22,13 @@
 		return 0
 	}
 	tasks := o.board.Tasks[s.ID]
-	gang := placement.NextOfGang(tasks, s.Tasks)
+	gang := placement.NextGangStep(tasks, s.Tasks)
 	switch gang.Step {
-	case placement.GangClears:
+	case placement.GangClearExited:
 		return 0
-	case placement.GangGathers:
+	case placement.GangReserveAll:
 		return o.gatherGang(js, now, rq)
-	case placement.GangStarts:
+	case placement.GangStart:
 		if !js.keptFrom.IsZero() && o.keepsAhead(js, tasks, gang.Attempt, now, rq) {
 			return 1
 		}
@@ -39,13 +39,13 @@
 			}
 		}
 		return s.Tasks
-	case placement.GangYields:
+	case placement.GangReleaseAll:
 		o.stopGang(js, 0, now, rq)
 		js.blocked = now.Add(time.Second)
 		return 1
-	case placement.GangCompletes:
+	case placement.GangReplaceMissing:
 		return o.completeGang(js, gang.Attempt, now, rq)
-	case placement.GangBroke:
+	case placement.GangBroken:
 		// Make sure after a while that the rest notices.
 		if js.waitFrom.IsZero() {
 			js.waitFrom = now
@@ -180,12 +180,12 @@
 // do.
 func (o *Owner) keepAhead(js *jobState, zones []string, attempt uint64, now time.Time, rq requests) {
 	s := js.job.Spec
-	if waited := now.Sub(js.job.Ready); waited < placement.AheadAfter || js.opinion == placement.AtFault || now.Sub(js.keptFrom) < placement.TurnFor+placement.TurnGap {
+	if waited := now.Sub(js.job.Ready); waited < placement.MachineReservationAfter || js.opinion == placement.AtFault || now.Sub(js.keptFrom) < placement.LimitReservationDuration+placement.LimitReservationGap {
 		return
 	}
 	var on []*board.Machine
 	for _, zone := range zones {
-		if on = o.placingFor(js, zone).Ahead(o.machinesNow(), s.Tasks, o.endOf); on != nil {
+		if on = o.placingFor(js, zone).MachinesToReserve(o.machinesNow(), s.Tasks, o.endOf); on != nil {
 			break
 		}
 	}
@@ -216,7 +216,7 @@
 	if enough {
 		return false
 	}
-	if now.Sub(js.keptFrom) > placement.TurnFor {
+	if now.Sub(js.keptFrom) > placement.LimitReservationDuration {
 		o.stopGang(js, 0, now, rq) // others' turn
 		js.blocked = now.Add(time.Second)
 		return true
@@ -295,7 +295,7 @@
 		}
 		if c, ok := o.find(js, p, now); ok {
 			o.start(js, index, attempt, c, false, rq)
-			p.Zones[c.Machine.Zone]++
+			p.TasksByZone[c.Machine.Zone]++
 		}
 	}
 	return looked
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -55,7 +55,7 @@
 	releasing    map[int]*heldSlot
 	writingSlots bool
 	drainsFor    uint64                       // the last wish to drain
-	opinions     map[string]placement.Opinion // of jobs that failed somewhere
+	opinions     map[string]placement.Verdict // of jobs that failed somewhere
 	found        uint64                       // batches of machines that nobody had registered
 	finding      bool
 	// probing: most workers went silent together, and it is being found out whether it is
@@ -145,7 +145,7 @@
 		slots:        map[int]*heldSlot{},
 		byID:         map[string]*worker{},
 		changedJobs:  map[string]bool{},
-		opinions:     map[string]placement.Opinion{},
+		opinions:     map[string]placement.Verdict{},
 		releasing:    map[int]*heldSlot{},
 		changed:      make(chan struct{}),
 		fences:       map[string]protocol.Token{},
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -54,7 +54,7 @@
 			return
 		case held != nil || on == nil || !on.Running():
 			return // something is under way already
-		case on.Machine.Vacates && now.Sub(on.Ran) >= balance.SettledAfter:
+		case on.Machine.Vacates && now.Sub(on.RunningSince) >= balance.SettledAfter:
 			next = on
 		}
 	}
@@ -72,27 +72,27 @@
 // placeElsewhere finds a machine to which a replica had better move from where it is.
 func (o *Owner) placeElsewhere(js *jobState, from *board.Instance) (placement.Choice, bool) {
 	p := o.placingFor(js, "")
-	p.Zones[from.Machine.Zone]-- // it is gone from there before it starts
-	if p.Zones[from.Machine.Zone] == 0 {
-		delete(p.Zones, from.Machine.Zone)
+	p.TasksByZone[from.Machine.Zone]-- // it is gone from there before it starts
+	if p.TasksByZone[from.Machine.Zone] == 0 {
+		delete(p.TasksByZone, from.Machine.Zone)
 	}
-	p.Sample = len(o.board.Machines) // it is rare enough to look at all
+	p.SampleSize = len(o.board.Machines) // it is rare enough to look at all
 	// Away from where it costs far more than elsewhere it may go to a machine that nothing
 	// else keeps, and fetch its image there.
-	misplaced := p.Dear[from.Machine.Type]
+	misplaced := p.Expensive[from.Machine.Type]
 	most := time.Duration(0)
 	if misplaced {
 		most = mostFetch
 	}
 	var to []*board.Machine
 	for _, m := range o.machinesNow() {
-		if misplaced && !p.Dear[m.Type] || o.keptByServices(m) {
+		if misplaced && !p.Expensive[m.Type] || o.keptByServices(m) {
 			to = append(to, m)
 		}
 	}
-	p.Gather(to)
+	p.FindCandidates(to)
 	c, ok := p.BestFit()
-	return c, ok && p.Fetch(c.Machine) <= most
+	return c, ok && p.FetchTime(c.Machine) <= most
 }
 
 // mostFetch is the longest fetch that a replica is moved for.
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -61,7 +61,7 @@
 	// thought of them.
 	failing map[string]*jobState
 	judged  time.Time
-	think   func(job string, o placement.Opinion)
+	think   func(job string, o placement.Verdict)
 
 	// ending and recording: what ends jobs, and other results, is being written.
 	ending, recording bool
@@ -75,12 +75,12 @@
 	classes    map[string]*fleet.Class
 	rng        *rand.Rand
 	unmetNeeds map[kind]unmetNeed
-	lately     placement.Lately
+	lately     placement.RecentPlacements
 	// turns are those of teams' large jobs, by team.
-	turns map[string]*placement.Turn
+	turns map[string]*placement.LimitReservation
 	// runs are the run times that were seen, held how many tasks wait in this round for room where
 	// their image is, by image.
-	runs learn.Runs
+	runs learn.RunTimes
 	held map[string]int
 	// moves is how many moves of replicas were begun.
 	moves int
@@ -133,7 +133,7 @@
 	// badOn are machines on which tasks of the job failed, each with whether
 	// it was sound otherwise; opinion is what is thought of the job for it.
 	badOn   map[string]bool
-	opinion placement.Opinion
+	opinion placement.Verdict
 	trials  int
 	trialAt time.Time
 	// waitFrom is since when a running gang lacks a task.
@@ -159,16 +159,16 @@
 }
 
 // NewOwner makes the actor.
-func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, found func(*bookkeeping.Job), think func(string, placement.Opinion), lenders map[string]LendCaller) *Owner {
+func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, found func(*bookkeeping.Job), think func(string, placement.Verdict), lenders map[string]LendCaller) *Owner {
 	known := board.New()
-	known.StartsLastFor = commandLifetime(c)
+	known.StartCommandLifetime = commandLifetime(c)
 	return &Owner{quotas: newQuotas(c.Quotas, lenders), actor: newActor(ctx), cfg: c, session: session, store: store, holders: holders, found: found, think: think,
 		slots: ring.SlotCount(len(c.Siblings) + 1), board: known, types: map[string]protocol.MachineType{},
 		jobs: map[string]*jobState{}, active: map[string]*jobState{}, unclear: map[string]*jobState{},
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), machReg: map[string]*bookkeeping.Machine{},
 		rosters: map[int]bookkeeping.Roster{},
 		born:    map[uint64]uint64{}, asking: map[uint64]bool{}, inFlight: map[string]bool{}, peers: map[string]*peerState{},
-		classes: map[string]*fleet.Class{}, ended: map[string]*bookkeeping.Job{}, failing: map[string]*jobState{}, unmetNeeds: map[kind]unmetNeed{}, turns: map[string]*placement.Turn{}, lately: placement.Lately{HalfLife: latelyHalf}}
+		classes: map[string]*fleet.Class{}, ended: map[string]*bookkeeping.Job{}, failing: map[string]*jobState{}, unmetNeeds: map[kind]unmetNeed{}, turns: map[string]*placement.LimitReservation{}, lately: placement.RecentPlacements{HalfLife: latelyHalf}}
 }
 
 // Run follows all holders' feeds and runs the actor until its context ends.
@@ -276,7 +276,7 @@
 	o.archive()
 	if now.Sub(o.judged) >= time.Second {
 		o.judged = now
-		o.touched(o.board.DropLost(now))
+		o.touched(o.board.ExpireLost(now))
 		o.judgeJobs(now)
 		o.lookUp()
 		o.tellStandstill(now)
@@ -332,8 +332,8 @@
 	}
 	o.record(outcomes)
 	slices.SortFunc(ready, o.sooner)
-	placement.TakeTurns(ready, func(js *jobState) placement.Waiting {
-		w := placement.Waiting{Level: -js.job.Rank, Team: js.job.Spec.Team, Tasks: js.missing}
+	placement.InterleaveTeams(ready, func(js *jobState) placement.QueuedJob {
+		w := placement.QueuedJob{Level: -js.job.Rank, Team: js.job.Spec.Team, Tasks: js.missing}
 		if js.job.Filler {
 			w.Level = 1 // behind all other work
 		}
@@ -376,12 +376,12 @@
 // addPendingStarts adds up the room of starts that the board does not show yet.
 func (o *Owner) addPendingStarts() {
 	for _, m := range o.board.Machines {
-		m.Promised = protocol.Room{}
+		m.RequestedRoom = protocol.Room{}
 	}
 	for _, js := range o.unclear {
 		for _, ps := range js.pending {
 			if m := o.board.Machines[ps.machine]; m != nil {
-				m.Promised = m.Promised.Add(ps.need)
+				m.RequestedRoom = m.RequestedRoom.Add(ps.need)
 			}
 		}
 	}
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -34,45 +34,45 @@
 
 // placingFor prepares to place tasks of a job on machines of a zone, or of any
 // if it is empty.
-func (o *Owner) placingFor(js *jobState, zone string) *placement.Placing {
+func (o *Owner) placingFor(js *jobState, zone string) *placement.Placer {
 	s := js.job.Spec
-	p := &placement.Placing{Spec: s, Zone: zone, Avoid: js.badOn, Types: o.types, Scarce: o.scarceNow, Sample: o.cfg.Sample, Rand: o.rng}
-	if s.Shape == protocol.Service && placement.RunsOnOthers(s, o.types, o.scarceNow) {
+	p := &placement.Placer{Spec: s, Zone: zone, Avoid: js.badOn, Types: o.types, Scarce: o.scarceNow, SampleSize: o.cfg.Sample, Rand: o.rng}
+	if s.Shape == protocol.Service && placement.HasNonScarceType(s, o.types, o.scarceNow) {
 		// Other machines can be had in about the time that they take to boot.
-		ready, _ := fleet.Ready(o.types, s, s.ImageGB)
-		p.Keep = time.Since(js.job.Ready) < o.within(s.Class, 0)+ready
+		ready, _ := fleet.FastestReady(o.types, s, s.ImageGB)
+		p.AvoidScarce = time.Since(js.job.Ready) < o.within(s.Class, 0)+ready
 	}
-	if p.Dear = placement.Dear(s, o.types); p.Dear != nil {
+	if p.Expensive = placement.ExpensiveTypes(s, o.types); p.Expensive != nil {
 		// What is late anyway waits for a machine that costs less, as long as there are some.
-		ready, _ := fleet.Ready(o.types, s, s.ImageGB)
+		ready, _ := fleet.FastestReady(o.types, s, s.ImageGB)
 		aim, waited := o.within(s.Class, 0), time.Since(js.job.Ready)
-		p.Shun = waited > aim && waited < aim+2*ready && o.toBeHad(s, p.Dear)
+		p.AvoidExpensive = waited > aim && waited < aim+2*ready && o.toBeHad(s, p.Expensive)
 	}
 	if js.opinion == placement.AtFault {
 		p.Avoid = nil // no machine is to blame
 	}
-	p.Zones = map[string]int{}
+	p.TasksByZone = map[string]int{}
 	if s.OneZone || s.Scatter {
 		for _, list := range o.board.Tasks[s.ID] {
 			for _, i := range list {
 				if !i.Exited() {
-					p.Zones[i.Machine.Zone]++
+					p.TasksByZone[i.Machine.Zone]++
 				}
 			}
 		}
 		for _, ps := range js.pending {
 			if m := o.board.Machines[ps.machine]; m != nil {
-				p.Zones[m.Zone]++
+				p.TasksByZone[m.Zone]++
 			}
 		}
 	}
-	p.Gather(o.machinesNow())
+	p.FindCandidates(o.machinesNow())
 	return p
 }
 
 // scarce are the types that some class seen lately cannot do without.
 func (o *Owner) scarce() map[string]bool {
-	return placement.Scarce(func(yield func(*protocol.JobSpec) bool) {
+	return placement.ScarceTypes(func(yield func(*protocol.JobSpec) bool) {
 		for _, c := range o.classes {
 			if !yield(c.Spec) {
 				return
@@ -129,7 +129,7 @@
 	s := j.Spec
 	c := placement.Claim{Spec: s, Rank: j.Rank, Filler: j.Filler}
 	if t := o.cfg.Team(s.Team); t != nil {
-		c.Guaranteed, c.Beyond = t.Guarantees(s.Need(), use[s.Team].Add(s.Need())), t.Beyond(s.Need(), use[s.Team])
+		c.WithinGuarantee, c.OverGuarantee = t.Guarantees(s.Need(), use[s.Team].Add(s.Need())), t.Beyond(s.Need(), use[s.Team])
 	}
 	return c
 }
@@ -141,7 +141,7 @@
 		if js == nil {
 			return placement.Victim{}, false
 		}
-		return placement.Price(i, o.claim(js.job, use), by, now)
+		return placement.EvictionCost(i, o.claim(js.job, use), by, now)
 	}
 }
 
@@ -171,7 +171,7 @@
 // that one waits.
 func (o *Owner) barred(js *jobState, team string) bool {
 	t := o.turns[team]
-	if t == nil || !t.Bars(js.job.Spec.ID, js.job.Rank, time.Now()) {
+	if t == nil || !t.Blocks(js.job.Spec.ID, js.job.Rank, time.Now()) {
 		return false
 	}
 	other := o.active[t.Job]
@@ -187,7 +187,7 @@
 	s := js.job.Spec
 	tasks := o.board.Tasks[s.ID]
 	looked := 0
-	var p *placement.Placing
+	var p *placement.Placer
 	hold := -1      // how many had better wait for room where the image is, -1 if not known yet
 	var lacks []int // tasks that need a permit
 	defer func() { o.want(js, lacks, 0, false, now) }()
@@ -224,12 +224,12 @@
 		if hold < 0 {
 			hold = o.hold(js, p, &c, js.missing, now)
 		}
-		if js.missing-(looked-1) <= hold && len(c.Evict) == 0 && p.Fetch(c.Machine) > 0 {
+		if js.missing-(looked-1) <= hold && len(c.Evict) == 0 && p.FetchTime(c.Machine) > 0 {
 			js.blocked = now.Add(holdFor)
 			return looked
 		}
 		o.start(js, index, o.attempt(permit), c, false, rq)
-		p.Zones[c.Machine.Zone]++
+		p.TasksByZone[c.Machine.Zone]++
 		if js.opinion == placement.AtFault {
 			js.tried(now)
 			break
@@ -257,9 +257,9 @@
 }
 
 // find finds a machine with room, or one where room may be made.
-func (o *Owner) find(js *jobState, p *placement.Placing, now time.Time) (placement.Choice, bool) {
+func (o *Owner) find(js *jobState, p *placement.Placer, now time.Time) (placement.Choice, bool) {
 	c, ok := p.BestFit()
-	if ok && p.Fetch(c.Machine) <= o.within(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
+	if ok && p.FetchTime(c.Machine) <= o.within(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
 		return c, true
 	}
 	if e, found := o.makeRoom(js, p, c.Machine, now); found {
@@ -273,25 +273,25 @@
 
 // hold is how many of a job's missing tasks had better wait for room where their image is
 // than be started as chosen.
-func (o *Owner) hold(js *jobState, p *placement.Placing, c *placement.Choice, missing int, now time.Time) int {
-	fetch := p.Fetch(c.Machine)
+func (o *Owner) hold(js *jobState, p *placement.Placer, c *placement.Choice, missing int, now time.Time) int {
+	fetch := p.FetchTime(c.Machine)
 	s := js.job.Spec
 	if fetch == 0 || len(c.Evict) > 0 || o.cfg.Patience == 0 || s.Shape == protocol.Service {
 		return 0 // a service is missed as long as it is not there
 	}
-	rate := p.Ends(o.machinesNow(), o.wantedImages(now), o.endOf)
-	n := placement.Hold(o.cfg.Patience, rate, o.held[s.Image], fetch, now.Sub(js.job.Ready), o.within(s.Class, time.Minute))
+	rate := p.ReleaseRate(o.machinesNow(), o.wantedImages(now), o.endOf)
+	n := placement.TasksToDelay(o.cfg.Patience, rate, o.held[s.Image], fetch, now.Sub(js.job.Ready), o.within(s.Class, time.Minute))
 	o.held[s.Image] += min(n, missing)
 	return n
 }
 
 // endOf is what is known of when a task ends; services and what is not known never do.
-func (o *Owner) endOf(i *board.Instance) placement.Ending {
+func (o *Owner) endOf(i *board.Instance) placement.RunEstimate {
 	js := o.jobs[i.Job]
 	if js == nil || js.job.Spec.Shape == protocol.Service {
-		return placement.Ending{}
+		return placement.RunEstimate{}
 	}
-	return placement.Ending{Need: js.job.Spec.Need(), Mean: o.runs.Mean(js.job.Spec.Class, js.job.Spec.Estimate())}
+	return placement.RunEstimate{Need: js.job.Spec.Need(), Mean: o.runs.Mean(js.job.Spec.Class, js.job.Spec.Estimate())}
 }
 
 // wantedImages are the images of jobs, whoever's, of which tasks are not begun. It is worked
@@ -321,7 +321,7 @@
 
 // makeRoom finds a machine where stopping other work makes room for a task, if
 // that is better than what there is without (nil: nothing).
-func (o *Owner) makeRoom(js *jobState, p *placement.Placing, free *board.Machine, now time.Time) (placement.Choice, bool) {
+func (o *Owner) makeRoom(js *jobState, p *placement.Placer, free *board.Machine, now time.Time) (placement.Choice, bool) {
 	s := js.job.Spec
 	if js.opinion == placement.AtFault {
 		return placement.Choice{}, false // nothing makes way for what will fail
@@ -331,7 +331,7 @@
 		use = o.teamsNow().use
 	}
 	by := o.claim(js.job, use)
-	if by.Rank < placement.Preempts && !by.Guaranteed || now.Sub(js.known) < 500*time.Millisecond {
+	if by.Rank < placement.MinPreemptingRank && !by.WithinGuarantee || now.Sub(js.known) < 500*time.Millisecond {
 		return placement.Choice{}, false
 	}
 	other := math.Inf(1)
@@ -342,7 +342,7 @@
 	// Stopping other work is the last resort: as long as the aim leaves time,
 	// room may come free by itself.
 	within := o.within(s.Class, time.Minute)
-	if found && free == nil && within-now.Sub(js.job.Ready)-p.Fetch(e.Machine)-10*time.Second >= within/5 {
+	if found && free == nil && within-now.Sub(js.job.Ready)-p.FetchTime(e.Machine)-10*time.Second >= within/5 {
 		found = o.onlyFiller(&e)
 	}
 	return e, found
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -174,8 +174,8 @@
 		if b == nil || !b.Complete {
 			return quota.Seen{Present: present}
 		}
-		if n == 0 || b.Asked.Before(s.Asked) {
-			s.Asked = b.Asked
+		if n == 0 || b.RequestedAt.Before(s.Asked) {
+			s.Asked = b.RequestedAt
 		}
 	}
 	return s
@@ -222,7 +222,7 @@
 				}
 				loss := 0.0
 				if !s.Saves() {
-					loss = now.Sub(i.Since).Seconds()
+					loss = now.Sub(i.FirstSeen).Seconds()
 				}
 				if whole {
 					w.ID, w.Need, w.Loss = i.Task, w.Need.Add(j.Need), w.Loss+loss
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -168,7 +168,7 @@
 		}
 		last = sh.tenure
 		for _, s := range r.Slots {
-			if s.Complete && r.Window >= sh.gain && a.Fence.Term() == o.session.Term() && o.board.Shows(&s) {
+			if s.Complete && r.Window >= sh.gain && a.Fence.Term() == o.session.Term() && o.board.MatchesTerm(&s) {
 				sh.seen[s.Slot] = true
 			}
 		}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -153,7 +153,7 @@
 				}
 				continue
 			}
-			if i.State != board.TaskReserved && (keep == nil || i.Since.Before(keep.Since)) {
+			if i.State != board.TaskReserved && (keep == nil || i.FirstSeen.Before(keep.FirstSeen)) {
 				keep = i
 			}
 		}
@@ -184,9 +184,9 @@
 
 // learn notes how long a task ran, once.
 func (o *Owner) learn(js *jobState, i *board.Instance, now time.Time) {
-	if !i.Ran.IsZero() {
-		o.runs.Note(js.job.Spec.Class, now.Sub(i.Ran))
-		i.Ran = time.Time{}
+	if !i.RunningSince.IsZero() {
+		o.runs.Record(js.job.Spec.Class, now.Sub(i.RunningSince))
+		i.RunningSince = time.Time{}
 	}
 }
 
@@ -216,10 +216,10 @@
 
 // handleExit has an attempt forgotten that ended otherwise than done, and says when to try again.
 func (o *Owner) handleExit(js *jobState, index int, i *board.Instance, now time.Time, rq requests) {
-	if now.Sub(i.Asked) < 2*time.Second {
+	if now.Sub(i.StopRequestedAt) < 2*time.Second {
 		return
 	}
-	if i.Asked.IsZero() {
+	if i.StopRequestedAt.IsZero() {
 		delay := time.Duration(0)
 		switch i.Cause {
 		case protocol.CauseError:
@@ -233,17 +233,17 @@
 		js.retryAt[index] = now.Add(delay)
 		slog.Info("task exited", "task", i.Task, "machine", i.Machine.ID, "cause", i.Cause)
 	}
-	i.Asked = now
+	i.StopRequestedAt = now
 	a := o.to(rq, i.Machine)
-	keep := i.Cause == protocol.CauseIncomplete && o.account(js) == "" && placement.GangAssembles(o.board.Tasks[i.Job], js.job.Spec.Tasks, func(index int) bool { return js.pending[index] != nil })
+	keep := i.Cause == protocol.CauseIncomplete && o.account(js) == "" && placement.GangCanAssemble(o.board.Tasks[i.Job], js.job.Spec.Tasks, func(index int) bool { return js.pending[index] != nil })
 	a.Stops = append(a.Stops, Stop{Task: i.Task, Attempt: i.Attempt, Machine: i.Machine.ID, Forget: true, Keep: keep})
 }
 
 func (o *Owner) askStop(i *board.Instance, grace float64, now time.Time, rq requests) {
-	if now.Sub(i.Asked) < 2*time.Second {
+	if now.Sub(i.StopRequestedAt) < 2*time.Second {
 		return
 	}
-	i.Asked = now
+	i.StopRequestedAt = now
 	a := o.to(rq, i.Machine)
 	a.Stops = append(a.Stops, Stop{Task: i.Task, Attempt: i.Attempt, Machine: i.Machine.ID, GraceS: grace})
 }
--- a/internal/coordination/renting.go
+++ b/internal/coordination/renting.go
@@ -64,12 +64,12 @@
 	l.rounds++
 	l.noteBoots(st, now)
 	gone := l.notComing(st, leadFrom, now)
-	gone = append(gone, fleet.Lost(st.silent, st.holder, len(st.reg))...)
+	gone = append(gone, fleet.SilentToReturn(st.silent, st.holder, len(st.reg))...)
 	st.in.Refused = func(k fleet.Kind) bool { return now.Before(l.refusals[k]) }
 	l.tellRefusals(now)
 	st.in.IdleAfter = l.cfg.IdleAfter
 	rent, idle := fleet.Plan(&st.in)
-	slog.Debug("fleet", "machines", len(st.in.Machines), "fillers", fleet.Fillers(st.in.Machines), "idle", len(idle),
+	slog.Debug("fleet", "machines", len(st.in.Machines), "fillers", fleet.CountFillerOnly(st.in.Machines), "idle", len(idle),
 		"kinds to rent", len(rent), "ready", st.ready)
 	vacate := l.vacate(&st.in, rent, now)
 	gone = append(gone, l.keepFree(st, wish, idle, vacate, now)...)
@@ -96,13 +96,13 @@
 			continue
 		}
 		age := now.Sub(time.UnixMilli(m.RentedMs))
-		late, never := fleet.BootLimits(protocol.Seconds(t.BootS), l.boots[m.Type])
+		late, never := fleet.BootTimeouts(protocol.Seconds(t.BootS), l.boots[m.Type])
 		if up := st.up[id]; !up && age > never || up && age > protocol.Seconds(t.BootS)+backWithin && now.Sub(leadFrom) > backWithin {
 			gone = append(gone, id)
 			continue
 		}
 		st.in.Machines = append(st.in.Machines, &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Booting: true,
-			Free: t.Room(), Drains: age > late}) // late ones are not counted on
+			Free: t.Room(), Draining: age > late}) // late ones are not counted on
 	}
 	return gone
 }
@@ -156,17 +156,17 @@
 		l.grewAt[r.Type] = now
 	}
 	for rig, at := range l.grewAt {
-		grew[rig] = now.Sub(at) < balance.GrownFor
+		grew[rig] = now.Sub(at) < balance.GrowthCooldown
 	}
 	chosen := balance.Vacate(in, grew, vacating, int(l.moves.TokensAt(now)))
 	for _, m := range in.Machines {
 		if !vacating[m.ID] && slices.Contains(chosen, m.ID) {
-			l.moves.AllowN(now, len(m.Live))
+			l.moves.AllowN(now, len(m.Replicas))
 			if d, ok := l.draining[m.ID]; ok {
 				d.since = now // chosen anew, and paid for once
 				l.draining[m.ID] = d
 			}
-			slog.Info("vacating", "machine", m.ID, "services", len(m.Live))
+			slog.Info("vacating", "machine", m.ID, "services", len(m.Replicas))
 		}
 	}
 	return chosen
@@ -186,7 +186,7 @@
 			coming[id] = !st.up[id]
 		case l.coming[id] && age > 0:
 			b := append(l.boots[m.Type], age)
-			l.boots[m.Type] = b[max(0, len(b)-fleet.MaxBoots):]
+			l.boots[m.Type] = b[max(0, len(b)-fleet.MaxBootSamples):]
 		}
 	}
 	l.coming = coming
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -61,7 +61,7 @@
 		need: js.job.Spec.Need()}
 	js.pending[index] = ps
 	if !reserve || js.job.Spec.Shape != protocol.Gang { // a gang counts once, when it starts
-		o.lately.Placed(js.job.Spec.Team, time.Now())
+		o.lately.Record(js.job.Spec.Team, time.Now())
 	}
 	if o.teams != nil {
 		team := js.job.Spec.Team
@@ -69,7 +69,7 @@
 	}
 	js.stale = true
 	o.unclear[js.job.Spec.ID] = js
-	m.Promised = m.Promised.Add(ps.need)
+	m.RequestedRoom = m.RequestedRoom.Add(ps.need)
 }
 
 // send makes a request of a holder. Its outcome, if it doesn't come in time,
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -253,7 +253,7 @@
 // the command may be under way.
 func TestAStartUnderWayOutlivesItsHolder(t *testing.T) {
 	b, now := board.New(), time.Now()
-	b.StartsLastFor = 20 * time.Second
+	b.StartCommandLifetime = 20 * time.Second
 	starting := board.TaskView{Task: "wk-1/0", Attempt: 3, State: board.TaskStarting}
 	b.Apply("c1", newsOf(5, true, starting, seenRunning2), now, now)
 	b.Apply("c2", newsOf(9, true), now, now)
@@ -261,10 +261,10 @@
 		t.Fatalf("%+v", b.Tasks)
 	}
 	b.Apply("c2", newsOf(9, true), now, now.Add(10*time.Second))
-	if b.DropLost(now.Add(19 * time.Second)); b.Tasks["wk-1"][0] == nil {
+	if b.ExpireLost(now.Add(19 * time.Second)); b.Tasks["wk-1"][0] == nil {
 		t.Error("dropped while the command may be under way")
 	}
-	if b.DropLost(now.Add(21 * time.Second)); b.Tasks["wk-1"] != nil || b.Machines["host-000004"].EmptySince.IsZero() {
+	if b.ExpireLost(now.Add(21 * time.Second)); b.Tasks["wk-1"] != nil || b.Machines["host-000004"].EmptySince.IsZero() {
 		t.Errorf("kept for ever: %+v", b.Tasks)
 	}
 	// One that shows after all is what its holder says.
--- a/internal/coordination/unmet.go
+++ b/internal/coordination/unmet.go
@@ -51,7 +51,7 @@
 	if s.Zone != nil {
 		k.zone = *s.Zone
 	}
-	if k.rank >= placement.Preempts {
+	if k.rank >= placement.MinPreemptingRank {
 		k.waited = int(min(now.Sub(js.job.Ready), o.within(s.Class, time.Minute)) / waitStep)
 	}
 	return k, true
@@ -89,7 +89,7 @@
 	for k, l := range o.unmetNeeds {
 		if slices.ContainsFunc(views, func(v board.MachineView) bool {
 			m := o.board.Machines[v.ID]
-			return m != nil && m.Usable && m.Free.Sub(m.Promised).Fits(l.spec.Need()) && l.spec.Allows(m.Type, m.Zone, m.Spot)
+			return m != nil && m.Usable && m.Free.Sub(m.RequestedRoom).Fits(l.spec.Need()) && l.spec.Allows(m.Type, m.Zone, m.Spot)
 		}) {
 			delete(o.unmetNeeds, k)
 		}
--- a/internal/coordination/why.go
+++ b/internal/coordination/why.go
@@ -58,14 +58,14 @@
 // and when the next should start, negative if that can't be told.
 func (o *Owner) why(js *jobState, now time.Time) (reason string, in time.Duration) {
 	s := js.job.Spec
-	w := placement.Wait{Final: js.job.Final(), Held: js.job.Held, Until: js.job.From().Sub(now), Needs: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
-		Missing: s.Tasks - js.job.DoneCount(), Incomplete: !o.board.AllComplete(o.slots, 0), Asked: len(js.pending) > 0,
-		Quota:   o.binds(js, now),
-		Limited: func() bool { return js.gain != 0 && !o.teamRoom(js, 1) },
-		Coming:  func() (time.Duration, bool) { return o.coming(s, now) },
-		Age:     now.Sub(js.job.Ready),
-		Refused: func() bool { return o.noCapacityFor(s) }}
-	w.On(o.board.Tasks[s.ID], js.job.TaskDone, o.types, s.ImageGB, now)
+	w := placement.JobWait{Final: js.job.Final(), Held: js.job.Held, TimeToBegin: js.job.From().Sub(now), DependenciesPending: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
+		Missing: s.Tasks - js.job.DoneCount(), SlotsIncomplete: !o.board.AllComplete(o.slots, 0), StartRequested: len(js.pending) > 0,
+		BindingQuota:   o.binds(js, now),
+		AtTeamLimit:    func() bool { return js.gain != 0 && !o.teamRoom(js, 1) },
+		MachinesComing: func() (time.Duration, bool) { return o.coming(s, now) },
+		PlaceableFor:   now.Sub(js.job.Ready),
+		CloudRefused:   func() bool { return o.noCapacityFor(s) }}
+	w.AddInstances(o.board.Tasks[s.ID], js.job.TaskDone, o.types, s.ImageGB, now)
 	return w.Reason()
 }
 
@@ -288,5 +288,5 @@
 
 // toBeHad tells whether the cloud may have machines for a job, of other types than some.
 func (o *Owner) toBeHad(s *protocol.JobSpec, but map[string]bool) bool {
-	return fleet.ToBeHad(o.types, s, func(k fleet.Kind) bool { return !but[k.Type] && !slices.Contains(o.refused, k) })
+	return fleet.AnyRentable(o.types, s, func(k fleet.Kind) bool { return !but[k.Type] && !slices.Contains(o.refused, k) })
 }
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -9,7 +9,7 @@
 	"daledyke/internal/protocoltest"
 )
 
-// BenchmarkPlan plans a fleet that is half used, for 60 jobs that wait.
+// BenchmarkPlan plans a fleet that is half used, for 60 waiting jobs.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{100, 400, 1400, 6000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/fleet/boots.go
+++ b/internal/fleet/boots.go
@@ -6,22 +6,20 @@
 	"time"
 )
 
-// BootLimits are, for a type that nominally boots in so long, the ages from which a machine that has not come up is not
-// counted on, and from which it is thought never to come. Where machines of
-// its type came late lately, it is given as long: they would be replaced, and
-// come all the same.
-func BootLimits(boot time.Duration, seen []time.Duration) (late, never time.Duration) {
+// BootTimeouts returns the ages from which a booting machine is not counted on any more (late) and from which
+// it is expected never to come up (never), for a type with the given nominal boot time. Both are raised where
+// the observed boot times of the type are long: otherwise machines were replaced that came up after all.
+func BootTimeouts(boot time.Duration, observed []time.Duration) (late, never time.Duration) {
 	late, never = boot*9/5+5*time.Second, boot*13/5+15*time.Second
-	if len(seen) >= 4 {
-		sorted := slices.Sorted(slices.Values(seen))
+	if len(observed) >= 4 {
+		sorted := slices.Sorted(slices.Values(observed))
 		slow := sorted[len(sorted)*3/4]
 		late, never = max(late, min(slow*5/4, 4*boot)), max(never, min(slow*2, 6*boot))
 	}
 	return late, never
 }
 
-// Kind is what the cloud has, or has none of: a type in a zone, spot or
-// ordinary.
+// Kind is what the cloud offers, or is out of: a type in a zone, spot or ordinary.
 type Kind struct {
 	Type, Zone string
 	Spot       bool
@@ -30,26 +28,26 @@
 // String names the kind for logs.
 func (k Kind) String() string { return fmt.Sprint(k.Type, "/", k.Zone, "/", k.Spot) }
 
-// Lost are the silent machines that should be returned: not if a great part
-// of the fleet, or of one holder's machines, is silent at once. Then the fault
-// lies between them and the controllers, and they are probably well.
-// holder names the controllers that hold them; total is how many there are.
-func Lost(silent []string, holder map[string]string, total int) []string {
+// SilentToReturn returns the silent machines that should be returned. It returns none if a large part of the
+// fleet is silent at once, and none of a holder's machines if a large part of them is: the fault then lies
+// between them and the controllers, and the machines are probably healthy. holderOf maps machines to the
+// controllers that hold them; total is the number of machines.
+func SilentToReturn(silent []string, holderOf map[string]string, total int) []string {
 	if len(silent) > max(2, total/3) {
 		return nil
 	}
-	all, quiet := map[string]int{}, map[string]int{}
-	for _, h := range holder {
-		all[h]++
+	held, silentOf := map[string]int{}, map[string]int{}
+	for _, h := range holderOf {
+		held[h]++
 	}
 	for _, id := range silent {
-		quiet[holder[id]]++
+		silentOf[holderOf[id]]++
 	}
 	return slices.DeleteFunc(silent, func(id string) bool {
-		h := holder[id]
-		return h != "" && quiet[h] > 2 && 2*quiet[h] > all[h]
+		h := holderOf[id]
+		return h != "" && silentOf[h] > 2 && 2*silentOf[h] > held[h]
 	})
 }
 
-// MaxBoots is of how many machines of a type the boot times are kept.
-const MaxBoots = 24
+// MaxBootSamples is how many boot times are kept for a type.
+const MaxBootSamples = 24
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -8,15 +8,15 @@
 	"daledyke/internal/protocol"
 )
 
-// Class is what was seen of a class of jobs lately.
+// Class holds recent observations of a class of jobs.
 type Class struct {
 	Spec     *protocol.JobSpec // of the newest job
 	Arrivals []time.Time       // of tasks, bounded
 	ImageGB  float64           // average size of images
 }
 
-// Arrive counts the tasks of a job that became ready at a time.
-func (c *Class) Arrive(s *protocol.JobSpec, ready time.Time) {
+// RecordArrivals counts the tasks of a job that became ready at a time.
+func (c *Class) RecordArrivals(s *protocol.JobSpec, ready time.Time) {
 	if c.Spec == nil {
 		c.ImageGB = s.ImageGB
 	}
@@ -36,8 +36,8 @@
 // MaxArrivals bounds the arrivals that a class remembers.
 const MaxArrivals = 256
 
-// Rate is how many tasks of the class arrive in a second. The jobs that are
-// there at the very start are no measure of what follows.
+// Rate is how many tasks of the class arrive per second. The jobs present at the very start do not count: they
+// say nothing about later arrivals.
 func (c *Class) Rate(now, started time.Time) float64 {
 	span := min(arrivalSpan, now.Sub(started))
 	if span < 30*time.Second {
@@ -52,29 +52,28 @@
 	return float64(n) / (span - 10*time.Second).Seconds()
 }
 
-// betweenTasks is what passes from one task to the next in the same room.
-const betweenTasks = time.Second
+// taskTurnaround is the time from the end of a task to the start of the next in the same room.
+const taskTurnaround = time.Second
 
-// InTurn is for how many of an array's tasks there should be room at a time:
-// short ones can use the same room one after the other, in the time that is
-// left once a machine is ready. Estimates are taken to be wrong by half, and a
-// fifth of the time is not counted on. A huge array of tasks of a few seconds
-// had the whole cloud rented.
-func InTurn(tasks int, estimate, left time.Duration) int {
-	turns := max(1, int(left*4/5/(estimate*3/2+betweenTasks)))
-	return (tasks + turns - 1) / turns
+// ConcurrentTasks is for how many of an array's tasks there should be room at the same time: short tasks can
+// use the same room one after the other in the time that is left once a machine is ready. Estimates are taken
+// to be wrong by half, and a fifth of the time is not counted on. Without this reuse a huge array of tasks of a
+// few seconds had the whole cloud rented.
+func ConcurrentTasks(tasks int, estimate, timeLeft time.Duration) int {
+	runsPerSlot := max(1, int(timeLeft*4/5/(estimate*3/2+taskTurnaround)))
+	return (tasks + runsPerSlot - 1) / runsPerSlot
 }
 
-// Allowance is what a team may still use of what it is limited in, CPUs and GPUs, as its jobs
-// are gone through. Once each of its jobs was granted all of the limit: 388 machines were
-// rented for a burst of 400 jobs of a team that 50 machines hold.
+// Allowance is what a team may still use of its limits, CPUs and GPUs, while its jobs are gone through. It is
+// shared by all of the team's jobs: when each job was granted the whole limit, 388 machines were rented for a
+// burst of 400 jobs of a team for which 50 machines would have done.
 type Allowance struct {
 	cores, accels float64
-	// lined: a gang that does not fit is the next in line, and has its room counted.
-	lined bool
+	// gangCounted: a gang that does not fit was counted in full, as the next to start.
+	gangCounted bool
 }
 
-// NewAllowance is what a limit, of which zeros mean none, leaves beside what is in use.
+// NewAllowance is what a limit leaves beside what is in use; a limit of zero means none.
 func NewAllowance(limit, use protocol.Room) *Allowance {
 	a := &Allowance{cores: math.Inf(1), accels: math.Inf(1)}
 	if limit.Cores > 0 {
@@ -86,10 +85,10 @@
 	return a
 }
 
-// Take is how many of a job's missing tasks the team may use room for, which is then taken: of
-// a gang all or none. The first gang that does not fit is counted in full: it begins once
-// others end, and their machines may be too few or elsewhere. (With none counted large gangs
-// waited for machines to boot after they had waited for the limit.)
+// Take returns for how many of a job's missing tasks the team may use room, and deducts it: for a gang all or
+// none. The first gang that does not fit is counted in full: it starts once other tasks end, and their machines
+// may be too few or in other places. When no such gang was counted, large gangs waited for machines to boot
+// after they had waited for the limit.
 func (a *Allowance) Take(s *protocol.JobSpec, missing int) int {
 	const slack = 1e-6
 	need, n := s.Need(), float64(missing)
@@ -101,20 +100,19 @@
 	}
 	fits := int(n)
 	if s.Shape == protocol.Gang && fits < missing {
-		if a.lined {
+		if a.gangCounted {
 			return 0
 		}
-		a.lined, fits = true, missing
+		a.gangCounted, fits = true, missing
 	}
 	a.cores = max(0, a.cores-float64(fits)*need.Cores)
 	a.accels = max(0, a.accels-float64(fits)*need.Accels)
 	return fits
 }
 
-// Ready is how long the soonest machine for a task takes to be rented and have
-// an image of so many GB, and what the fetch is of it; the longest of durations
-// if no type takes the job.
-func Ready(types map[string]protocol.MachineType, s *protocol.JobSpec, gb float64) (ready, fetch time.Duration) {
+// FastestReady is how long the fastest machine for a task takes to be rented and to fetch an image of gb GB,
+// and the fetch's part of that time; ready is the longest duration if no type takes the job.
+func FastestReady(types map[string]protocol.MachineType, s *protocol.JobSpec, gb float64) (ready, fetch time.Duration) {
 	ready = math.MaxInt64
 	for _, t := range types {
 		if t.Takes(s) {
@@ -127,20 +125,19 @@
 	return ready, fetch
 }
 
-// Spare is for how many tasks of a class room should be kept ready, if the
-// users' aim (within) leaves no time to wait for a machine to boot: for as many as
-// come in the time by which a machine rented for them would be late, give or take,
-// times the operators' scale. preempt: room that preemption makes will do.
-// With all that come while it boots, a class whose images alone take nearly as
-// long as its aim had a third of the fleet kept empty.
-func Spare(c *Class, types map[string]protocol.MachineType, within time.Duration, scale float64, now, started time.Time) (n int, preempt bool) {
-	ready, fetch := Ready(types, c.Spec, c.ImageGB)
-	if ready == math.MaxInt64 || within >= ready {
+// SpareTasks is for how many tasks of a class room should be kept ready, if startTarget leaves no time to wait
+// for a machine to boot: for as many as arrive in the time by which a machine rented for them would be late,
+// with some margin, times the operators' scale. preempt: room that preemption frees will do. Only that time
+// counts and not the whole boot: otherwise a class whose images alone take nearly as long as its target had a
+// third of the fleet kept empty.
+func SpareTasks(c *Class, types map[string]protocol.MachineType, startTarget time.Duration, scale float64, now, started time.Time) (n int, preempt bool) {
+	ready, fetch := FastestReady(types, c.Spec, c.ImageGB)
+	if ready == math.MaxInt64 || startTarget >= ready {
 		return 0, false
 	}
-	mean := c.Rate(now, started) * (ready - within).Seconds() * scale
+	mean := c.Rate(now, started) * (ready - startTarget).Seconds() * scale
 	if mean == 0 {
 		return 0, false
 	}
-	return int(math.Ceil(mean + 0.7*math.Sqrt(mean))), within > fetch+12*time.Second
+	return int(math.Ceil(mean + 0.7*math.Sqrt(mean))), startTarget > fetch+12*time.Second
 }
--- a/internal/fleet/dear_test.go
+++ b/internal/fleet/expensive_test.go
@@ -7,8 +7,8 @@
 	"daledyke/internal/protocol"
 )
 
-// A service's replica fills a box that costs 1 an hour, or takes a sixteenth of a rack of 80.
-func TestServicesKeepOffDearTypes(t *testing.T) {
+// A service's replica fills a box that costs 1 an hour, or a sixteenth of a rack that costs 80.
+func TestServicesAvoidExpensiveTypes(t *testing.T) {
 	types := map[string]protocol.MachineType{
 		"box":  {Name: "box", Cores: 4, RAM: 16, Price: 1, FetchRate: 1, BootS: 20, Zones: []string{"a", "b"}},
 		"rack": {Name: "rack", Cores: 64, Accels: 8, RAM: 512, Price: 80, FetchRate: 1, BootS: 20, Zones: []string{"a"}},
@@ -24,28 +24,28 @@
 		return n
 	}
 	rack := func() *Machine {
-		return &Machine{ID: "m1", Type: "rack", Zone: "a", Used: true, Free: protocol.Room{Cores: 40, Accels: 4, RAM: 300}, ByRank: [4]protocol.Room{0: {Cores: 24, Accels: 4, RAM: 212}}}
+		return &Machine{ID: "m1", Type: "rack", Zone: "a", Used: true, Free: protocol.Room{Cores: 40, Accels: 4, RAM: 300}, RoomByRank: [4]protocol.Room{0: {Cores: 24, Accels: 4, RAM: 212}}}
 	}
 	full := func() *Machine {
-		return &Machine{ID: "m2", Type: "box", Zone: "a", Used: true, Others: true, ByRank: [4]protocol.Room{1: {Cores: 4, RAM: 16}}}
+		return &Machine{ID: "m2", Type: "box", Zone: "a", Used: true, OtherTasks: true, RoomByRank: [4]protocol.Room{1: {Cores: 4, RAM: 16}}}
 	}
 	if n := plan([]*Machine{rack()}, Demand{Spec: gate, Count: 3}); n["box"] != 3 || n["rack"] != 0 {
-		t.Errorf("room on a rack is no room while boxes can be had: %v", n)
+		t.Errorf("free room on a rack must not be used while boxes can be rented: %v", n)
 	}
-	if n := plan([]*Machine{{ID: "m1", Type: "rack", Zone: "a", Used: true, Free: protocol.Room{Cores: 60, Accels: 8, RAM: 500}, Live: []Replica{{Spec: gate, Ran: time.Hour}, {Spec: gate, Ran: time.Hour}}}}); n["box"] != 2 {
-		t.Errorf("boxes are rented for what is on a rack: %v", n)
+	if n := plan([]*Machine{{ID: "m1", Type: "rack", Zone: "a", Used: true, Free: protocol.Room{Cores: 60, Accels: 8, RAM: 500}, Replicas: []Replica{{Spec: gate, RunningFor: time.Hour}, {Spec: gate, RunningFor: time.Hour}}}}); n["box"] != 2 {
+		t.Errorf("boxes must be rented for the replicas on a rack: %v", n)
 	}
 	refused = true
 	if n := plan([]*Machine{rack()}, Demand{Spec: gate, Count: 3}); len(n) != 0 {
-		t.Errorf("there is no box, and room on a rack: %v", n)
+		t.Errorf("without boxes, free room on a rack must be used: %v", n)
 	}
 	if n := plan([]*Machine{full()}, Demand{Spec: gate, Count: 1}); len(n) != 0 {
-		t.Errorf("other work makes room in a box before a rack is rented: %v", n)
+		t.Errorf("other work must be evicted from a box before a rack is rented: %v", n)
 	}
 	if n := plan(nil, Demand{Spec: gate, Count: 1}); n["rack"] != 1 {
-		t.Errorf("there is nothing else: %v", n)
+		t.Errorf("without any other machine a rack must be rented: %v", n)
 	}
-	if n := plan(nil, Demand{Spec: gate, Count: 4, Spare: true, Left: time.Hour}); len(n) != 0 {
-		t.Errorf("a rack is kept ready: %v", n)
+	if n := plan(nil, Demand{Spec: gate, Count: 4, Spare: true, TimeLeft: time.Hour}); len(n) != 0 {
+		t.Errorf("a rack must not be kept ready: %v", n)
 	}
 }
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -9,37 +9,34 @@
 	"daledyke/internal/protocol"
 )
 
-// How demands are packed into machines, those that are there and those to be rented.
-
-// packing packs demands into machines, those that are there and those that are
-// to be rented.
+// packing packs demands into the present machines and into those to be rented.
 type packing struct {
-	in        *Input
-	bins      []*Machine
-	perZone   map[string]int
-	forFiller int // how many machines there may be for filler work alone
+	in            *Input
+	bins          []*Machine
+	perZone       map[string]int
+	maxFillerOnly int // bounds the machines for filler work alone
 }
 
 func (p *packing) pack(demands []Demand) {
 	for i := range demands {
 		d := &demands[i]
-		d.dear = placement.Dear(d.Spec, p.in.Types)
-		d.onlyDear = d.dear != nil && !ToBeHad(p.in.Types, d.Spec, func(k Kind) bool { return !d.dear[k.Type] && !p.in.Refused(k) })
+		d.expensive = placement.ExpensiveTypes(d.Spec, p.in.Types)
+		d.onlyExpensive = d.expensive != nil && !AnyRentable(p.in.Types, d.Spec, func(k Kind) bool { return !d.expensive[k.Type] && !p.in.Refused(k) })
 		if d.Spec.OneZone && d.Count > 1 && !d.Spare {
 			d.chooseZone(p.in, p.bins)
 		}
 		left := d.fill(p.in, p.bins, d.Count)
-		if left > 0 && d.onlyDear && d.rank() >= placement.Preempts {
-			// A machine that costs far more, for good, is worth less than work that ends
-			// elsewhere for it.
-			d.makesWay = true
+		if left > 0 && d.onlyExpensive && d.rank() >= placement.MinPreemptingRank {
+			// Renting an expensive machine for a service, which keeps it indefinitely, costs more than evicting
+			// work that ends elsewhere.
+			d.preemptLower = true
 			left = d.fill(p.in, p.bins, left)
 		}
 		for left > 0 {
-			if d.Filler && Fillers(p.bins) >= p.forFiller {
+			if d.Filler && CountFillerOnly(p.bins) >= p.maxFillerOnly {
 				break
 			}
-			b := newBin(p.in, p.perZone, len(p.bins), d, left)
+			b := chooseRental(p.in, p.perZone, len(p.bins), d, left)
 			if b == nil {
 				break
 			}
@@ -50,7 +47,7 @@
 	}
 }
 
-// rentals sums up the machines to be rented.
+// rentals counts the machines to be rented by kind and class.
 func (p *packing) rentals() (rent []Rental) {
 	for _, b := range p.bins[len(p.in.Machines):] {
 		k := slices.IndexFunc(rent, func(r Rental) bool {
@@ -68,23 +65,23 @@
 func (b *Machine) room(d *Demand) protocol.Room {
 	r := b.Free
 	switch {
-	case d.makesWay:
-		for rank := range min(d.rank(), placement.Preempts) {
-			r = r.Add(b.ByRank[rank])
+	case d.preemptLower:
+		for rank := range min(d.rank(), placement.MinPreemptingRank) {
+			r = r.Add(b.RoomByRank[rank])
 		}
-	case !d.Spare || !d.Preempt:
-		if d.rank() >= placement.Preempts {
-			r = r.Add(b.Yields)
+	case !d.Spare || !d.AllowPreemption:
+		if d.rank() >= placement.MinPreemptingRank {
+			r = r.Add(b.FillerRoom)
 		}
 	default:
 		for rank := range d.rank() {
-			r = r.Add(b.ByRank[rank])
+			r = r.Add(b.RoomByRank[rank])
 		}
 	}
 	return r
 }
 
-// take packs up to so many tasks into the machine and tells how many fit.
+// take packs up to left tasks into the machine and returns how many fit.
 func (b *Machine) take(d *Demand, left int) int {
 	if zone, bound := d.ZoneLeft[b.Zone]; bound {
 		left = min(left, zone)
@@ -93,7 +90,7 @@
 	if n == 0 {
 		return 0
 	}
-	b.fillers = b.fillers || d.Filler && b.Booting && !b.Used
+	b.fillerOnly = b.fillerOnly || d.Filler && b.Booting && !b.Used
 	b.Used, b.Packed = true, true
 	for range n {
 		b.Free = b.Free.Sub(d.Spec.Need())
@@ -112,36 +109,35 @@
 	return !bound || left > 0
 }
 
-// fill packs so many tasks into the machines as fit, the tightest fit first, and tells how
-// many are left.
+// fill packs up to count tasks into the machines, the tightest fit first, and returns how many are left.
 func (d *Demand) fill(in *Input, bins []*Machine, count int) int {
 	type fit struct {
-		bin  *Machine
-		left float64
+		bin   *Machine
+		score float64
 	}
 	var fits []fit
 	need := d.Spec.Need()
-	keep := d.Spec.Shape == protocol.Service && placement.RunsOnOthers(d.Spec, in.Types, in.Scarce)
-	shun := d.dear != nil && !d.onlyDear
+	avoidScarce := d.Spec.Shape == protocol.Service && placement.HasNonScarceType(d.Spec, in.Types, in.Scarce)
+	avoidExpensive := d.expensive != nil && !d.onlyExpensive
 	for _, b := range bins {
 		room := b.room(d)
-		if b.Drains || keep && in.Scarce[b.Type] || shun && d.dear[b.Type] || !room.Fits(need) || !d.allows(b) {
+		if b.Draining || avoidScarce && in.Scarce[b.Type] || avoidExpensive && d.expensive[b.Type] || !room.Fits(need) || !d.allows(b) {
 			continue
 		}
 		t := in.Types[b.Type]
-		left := room.Sub(need).Share(t.Room())
+		score := room.Sub(need).Share(t.Room())
 		if in.Scarce[b.Type] {
-			left++
+			score++
 		}
-		if d.dear[b.Type] {
-			left += 2
+		if d.expensive[b.Type] {
+			score += 2
 		}
 		if b.Booting {
-			left += 0.5
+			score += 0.5
 		}
-		fits = append(fits, fit{b, left})
+		fits = append(fits, fit{b, score})
 	}
-	slices.SortStableFunc(fits, func(a, b fit) int { return cmp.Compare(a.left, b.left) })
+	slices.SortStableFunc(fits, func(a, b fit) int { return cmp.Compare(a.score, b.score) })
 	left := count
 	for _, f := range fits {
 		if left == 0 {
@@ -152,14 +148,14 @@
 	return left
 }
 
-// newBin chooses what to rent for a demand with so many tasks left: the kind
-// of which the room that is of use costs least.
-func newBin(in *Input, perZone map[string]int, total int, d *Demand, left int) *Machine {
+// chooseRental selects what to rent for a demand with left tasks to place: the kind whose usable room costs
+// least. It returns nil if there is none.
+func chooseRental(in *Input, perZone map[string]int, total int, d *Demand, left int) *Machine {
 	var best *Machine
 	bestPrice := math.Inf(1)
 	for _, t := range in.Types {
-		if d.Spare && d.dear[t.Name] {
-			continue // nothing is kept ready where it costs far more
+		if d.Spare && d.expensive[t.Name] {
+			continue // no spare room on expensive types
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
@@ -173,17 +169,17 @@
 				}
 				price := t.Price
 				if spot {
-					price = t.SpotPrice * 1.2 // it may be taken away
+					price = t.SpotPrice * 1.2 // the cloud may take it back
 				}
-				// What a task takes of a machine counts, not the whole of it,
-				// as long as other work can use the rest.
+				// The share that a task takes of the machine counts, not the whole machine, as long as other
+				// work can use the rest.
 				price *= max(d.Spec.Need().Share(t.Room()), 0.6/float64(fit))
 				if in.Scarce[t.Name] && fit < left {
 					price *= 1.1
 				}
-				// A machine that is ready too late is worth less, however cheap.
-				late := protocol.Seconds(1.3*t.BootS) + t.FetchTime(d.Spec.ImageGB) - d.Left
-				price *= 1 + 0.015*max(0, late.Seconds())
+				// A machine that will be ready too late is worth less, however cheap.
+				delay := protocol.Seconds(1.3*t.BootS) + t.FetchTime(d.Spec.ImageGB) - d.TimeLeft
+				price *= 1 + 0.015*max(0, delay.Seconds())
 				price *= 1 + 0.1*float64(perZone[zone])/float64(total+1)
 				if price < bestPrice {
 					best, bestPrice = b, price
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -1,6 +1,6 @@
-// Package fleet plans the machines: what to rent for what has none, what nothing
-// needs any more, and when one that is late is not counted on. All of it are pure
-// functions of a snapshot; the leader asks, and acts on the answer.
+// Package fleet plans the machines: what to rent for tasks that have no machine, which machines nothing needs
+// any more, and when a late machine is no longer counted on. All decisions are pure functions of a snapshot;
+// the leader calls them and acts on the results.
 package fleet
 
 import (
@@ -12,79 +12,79 @@
 	"daledyke/internal/protocol"
 )
 
-// Demand is a number of alike tasks that need machines.
+// Demand is a number of like tasks that need machines.
 type Demand struct {
 	Spec  *protocol.JobSpec
 	Count int
-	// Raised is the rank of the priority that the job has for others.
-	Raised int
-	// Spare: for work that is expected, not there yet. Room that can be had
-	// by preemption will do if Preempt is set.
-	Spare   bool
-	Preempt bool
-	// Left is how much time the users' aim leaves for the tasks to start.
-	Left time.Duration
-	// Filler: work that nobody waits for.
+	// RaisedRank is the rank of the priority that the job inherits from jobs that depend on it.
+	RaisedRank int
+	// Spare: the tasks are expected but not there yet. AllowPreemption: room that preemption can free
+	// will do for them.
+	Spare           bool
+	AllowPreemption bool
+	// TimeLeft is how much of the start-time target is left for the tasks.
+	TimeLeft time.Duration
+	// Filler: nobody waits for the tasks.
 	Filler bool
-	// dear are types on which it costs far more than elsewhere (placement.Dear); onlyDear: no
-	// others are to be had. makesWay: work of lower priority has to go for it.
-	dear               map[string]bool
-	onlyDear, makesWay bool
-	// ZoneLeft is how many of the tasks each zone may still take, nil if all may
-	// go anywhere.
+	// expensive holds the types on which the tasks cost far more than elsewhere (placement.ExpensiveTypes);
+	// onlyExpensive: no other types can be rented. preemptLower: work of lower priority is to be evicted for
+	// the tasks.
+	expensive                   map[string]bool
+	onlyExpensive, preemptLower bool
+	// ZoneLeft is how many of the tasks each zone may still take, nil if all may go anywhere.
 	ZoneLeft map[string]int
 }
 
-func (d *Demand) rank() int { return max(d.Spec.Priority.Rank(), d.Raised) }
+func (d *Demand) rank() int { return max(d.Spec.Priority.Rank(), d.RaisedRank) }
 
-// Machine is a machine as renting sees it, there or booting.
+// Machine is a machine as the planning sees it: running, booting or still to be rented.
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool
 	Booting        bool
-	// class is that of the jobs that a machine still to be rented is for.
+	// class is the class of the jobs for which a machine is to be rented.
 	class string
 	Free  protocol.Room
-	// ByRank is the room held by tasks of each priority, Yields that of filler
-	// work, which makes way for any other of higher priority.
-	ByRank [4]protocol.Room
-	Yields protocol.Room
-	// fillers: it is there, or on its way, for filler work alone.
-	fillers bool
-	// Idle is for how long it has had no task.
+	// RoomByRank is the room held by tasks of each priority. FillerRoom is the room held by filler work,
+	// which is evicted for any work of higher priority.
+	RoomByRank [4]protocol.Room
+	FillerRoom protocol.Room
+	// fillerOnly: the machine is running, or booting, for filler work alone.
+	fillerOnly bool
+	// Idle is for how long the machine has had no task.
 	Idle time.Duration
-	// Drains: it is not counted on.
-	Drains bool
-	Used   bool // there are tasks, or some were packed into it
-	// Pinned: there are tasks that won't end by themselves.
+	// Draining: the plan does not count on the machine.
+	Draining bool
+	Used     bool // the machine has tasks, or the plan gives it some
+	// Pinned: some tasks will not end by themselves.
 	Pinned bool
-	// Fresh: it came up less than FreshFor ago.
+	// Fresh: the machine came up less than FreshFor ago.
 	Fresh bool
-	// Live are the services' replicas on it, Others tells that there are other tasks, and
-	// Images are those that it has.
-	Live   []Replica
-	Others bool
-	Images []string
-	// Packed: a plan counts on room that it has.
+	// Replicas are the services' tasks on the machine; OtherTasks: there are other tasks, too. Images are
+	// those that the machine has.
+	Replicas   []Replica
+	OtherTasks bool
+	Images     []string
+	// Packed: the plan uses room on the machine.
 	Packed bool
 }
 
-// Replica is a service's task on a machine, and for how long it is seen to run.
+// Replica is a service's task on a machine, and for how long it has been seen to run.
 type Replica struct {
-	Spec *protocol.JobSpec
-	Ran  time.Duration
+	Spec       *protocol.JobSpec
+	RunningFor time.Duration
 }
 
-// Input is the snapshot that renting is decided by.
+// Input is the snapshot on which a plan is based.
 type Input struct {
 	Types    map[string]protocol.MachineType
 	Machines []*Machine
 	Demands  []Demand
-	// Refused tells whether the cloud had none of a kind a while ago.
+	// Refused reports whether the cloud recently had none of a kind.
 	Refused func(kind Kind) bool
 	// IdleAfter is how long a machine may stand idle.
 	IdleAfter time.Duration
-	// Scarce are types that some class cannot do without.
+	// Scarce holds the types that some class of jobs cannot do without.
 	Scarce map[string]bool
 }
 
@@ -95,10 +95,10 @@
 	Class string // of the jobs that need it
 }
 
-// Plan packs what has no machine into the room there is and will be,
-// and says what to rent for the rest and which machines nothing needs.
-func Plan(in *Input) (rent []Rental, idle []string) {
-	last := func(a, b bool) int { // those that are come last
+// Plan packs the demands into the room that there is and will be, and returns what to rent for the rest and
+// which machines nothing needs.
+func Plan(in *Input) (rent []Rental, unneeded []string) {
+	last := func(a, b bool) int { // true sorts last
 		switch {
 		case a == b:
 			return 0
@@ -112,60 +112,59 @@
 			cmp.Compare(b.Spec.Accels, a.Spec.Accels), cmp.Compare(b.Spec.Cores, a.Spec.Cores))
 	})
 	slices.SortFunc(in.Machines, func(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) })
-	p := packing{in: in, bins: in.Machines, perZone: map[string]int{}, forFiller: in.markFillers()}
+	p := packing{in: in, bins: in.Machines, perZone: map[string]int{}, maxFillerOnly: in.markFillerOnly()}
 	for _, b := range p.bins {
 		p.perZone[b.Zone]++
 	}
-	// What filler work would like to have must not keep a machine: it is seen to
-	// once it is known which ones go.
-	filler := len(in.Demands)
+	// Demands of filler work must not keep a machine: they are packed once the unneeded machines are known.
+	firstFiller := len(in.Demands)
 	if k := slices.IndexFunc(in.Demands, func(d Demand) bool { return d.Filler }); k >= 0 {
-		filler = k
+		firstFiller = k
 	}
-	p.pack(in.Demands[:filler])
+	p.pack(in.Demands[:firstFiller])
 	p.pack(misplaced(in))
 	for _, m := range in.Machines {
 		if !m.Used && !m.Booting && m.Idle > in.IdleAfter {
-			idle = append(idle, m.ID)
-			m.Drains = true
+			unneeded = append(unneeded, m.ID)
+			m.Draining = true
 		}
 	}
-	idle = append(idle, surplus(in)...)
-	p.pack(in.Demands[filler:])
-	return p.rentals(), idle
+	unneeded = append(unneeded, surplus(in)...)
+	p.pack(in.Demands[firstFiller:])
+	return p.rentals(), unneeded
 }
 
-// mostMisplaced bounds for how many replicas at a time room is kept that costs less.
-const mostMisplaced = 32
+// maxMisplaced bounds the replicas for which cheaper room is kept at a time.
+const maxMisplaced = 32
 
-// misplaced are services on machines where they cost far more than elsewhere: room that costs
-// less is kept ready for them, as far as it can be had, and they move there.
+// misplaced returns demands for the services on machines where they cost far more than elsewhere: cheaper room
+// is kept ready for them as far as it can be rented, and they move there.
 func misplaced(in *Input) (demands []Demand) {
-	at := map[string]int{} // by job
-	dear := placement.DearFor(in.Types)
+	demandOf := map[string]int{} // by job
+	expensive := placement.ExpensiveTypesCache(in.Types)
 	n := 0
 	for _, m := range in.Machines {
-		if m.Others {
+		if m.OtherTasks {
 			continue
 		}
-		for _, r := range m.Live {
-			if !dear(r.Spec)[m.Type] {
+		for _, r := range m.Replicas {
+			if !expensive(r.Spec)[m.Type] {
 				continue
 			}
 			job := r.Spec.ID
-			k, known := at[job]
+			k, known := demandOf[job]
 			if !known {
-				k, at[job] = len(demands), len(demands)
-				d := Demand{Spec: r.Spec, Spare: true, Left: time.Hour}
+				k, demandOf[job] = len(demands), len(demands)
+				d := Demand{Spec: r.Spec, Spare: true, TimeLeft: time.Hour}
 				if r.Spec.OneZone {
-					d.ZoneLeft = in.noZones()
+					d.ZoneLeft = in.zeroZones()
 				}
 				demands = append(demands, d)
 			}
 			if demands[k].Count++; demands[k].ZoneLeft != nil {
 				demands[k].ZoneLeft[m.Zone]++
 			}
-			if n++; n == mostMisplaced {
+			if n++; n == maxMisplaced {
 				return demands
 			}
 		}
@@ -173,8 +172,8 @@
 	return demands
 }
 
-// noZones lets a demand into no zone that a type is had in.
-func (in *Input) noZones() map[string]int {
+// zeroZones is a ZoneLeft that lets a demand into none of the zones in which types are offered.
+func (in *Input) zeroZones() map[string]int {
 	left := map[string]int{}
 	for _, t := range in.Types {
 		for _, z := range t.Zones {
@@ -184,68 +183,67 @@
 	return left
 }
 
-// markFillers finds the machines that are there for filler work alone and tells
-// how many there may be: a tenth of the others. Where it has no room at all it
-// would never be done, and it must not cost more than that.
-func (in *Input) markFillers() int {
+// markFillerOnly marks the machines that run for filler work alone and returns how many there may be: a tenth
+// of the others, and at least two. With no room at all filler work would never end, and it must not cost more
+// than that.
+func (in *Input) markFillerOnly() int {
 	others := 0
 	for _, m := range in.Machines {
 		t := in.Types[m.Type]
-		m.fillers = !m.Booting && !m.Pinned && m.Yields != (protocol.Room{}) && t.Room().Sub(m.Free).Sub(m.Yields).Share(t.Room()) < 1e-6
-		if !m.fillers {
+		m.fillerOnly = !m.Booting && !m.Pinned && m.FillerRoom != (protocol.Room{}) && t.Room().Sub(m.Free).Sub(m.FillerRoom).Share(t.Room()) < 1e-6
+		if !m.fillerOnly {
 			others++
 		}
 	}
 	return max(2, others/10)
 }
 
-// Fillers is how many of the machines are there for filler work alone.
-func Fillers(bins []*Machine) (n int) {
+// CountFillerOnly is how many of the machines run for filler work alone.
+func CountFillerOnly(bins []*Machine) (n int) {
 	for _, b := range bins {
-		if b.fillers {
+		if b.fillerOnly {
 			n++
 		}
 	}
 	return n
 }
 
-// FreshFor is for how long a machine that came up is left for what it was rented
-// for. It is empty at first, and was given back at once, and another one rented,
-// over and over, where others of its type hold only filler work (hunt-cc4e-31).
+// FreshFor is how long a machine that came up is kept for the work for which it was rented. It is empty at
+// first, and without this delay it was returned at once and another one rented, over and over, where other
+// machines of its type hold only filler work (hunt-cc4e-31).
 const FreshFor = 3 * time.Second
 
-// RoomKept is the part of the machines of a type whose room is kept for what
-// comes, beside what is known, before any are given back at once.
-const RoomKept = 0.12
+// SpareRoomShare is the part of a type's machines whose room is kept for unexpected work before any are
+// returned at once.
+const SpareRoomShare = 0.12
 
-// surplus chooses, and marks, the machines without tasks that need not stand
-// idle for a while first: as many of each type as the others have room for, and some more.
-// Machines with tasks are not emptied for it: tried, and no cheaper.
+// surplus selects, and marks as draining, machines without tasks that are returned without standing idle first:
+// as many of each type as the others have room for, less SpareRoomShare. Machines with tasks are not emptied
+// for it: that was no cheaper.
 func surplus(in *Input) (empty []string) {
-	room, count := map[string]float64{}, map[string]int{} // by type, in whole machines
+	freeRoom, count := map[string]float64{}, map[string]int{} // by type, in machines
 	for _, m := range in.Machines {
-		if t := in.Types[m.Type]; !m.Booting && !m.Drains {
-			room[m.Type] += 1 - min(1, t.Room().Sub(m.Free).Sub(m.Yields).Share(t.Room()))
+		if t := in.Types[m.Type]; !m.Booting && !m.Draining {
+			freeRoom[m.Type] += 1 - min(1, t.Room().Sub(m.Free).Sub(m.FillerRoom).Share(t.Room()))
 			count[m.Type]++
 		}
 	}
 	for _, m := range in.Machines {
-		if m.Used || m.Booting || m.Drains || m.Fresh || room[m.Type]-1 < max(1, RoomKept*float64(count[m.Type])) {
+		if m.Used || m.Booting || m.Draining || m.Fresh || freeRoom[m.Type]-1 < max(1, SpareRoomShare*float64(count[m.Type])) {
 			continue
 		}
-		room[m.Type]--
-		m.Drains = true
+		freeRoom[m.Type]--
+		m.Draining = true
 		empty = append(empty, m.ID)
 	}
 	return empty
 }
 
-// chooseZone settles on one zone for tasks that must share one: that which
-// takes most of them as it is.
+// chooseZone restricts tasks that must share a zone to the zone whose machines take most of them.
 func (d *Demand) chooseZone(in *Input, bins []*Machine) {
 	fit := map[string]int{}
 	for _, b := range bins {
-		if !b.Drains && d.allows(b) {
+		if !b.Draining && d.allows(b) {
 			fit[b.Zone] += b.room(d).Times(d.Spec.Need(), d.Count)
 		}
 	}
@@ -266,15 +264,15 @@
 	}
 }
 
-// ToBeHad tells whether the cloud may have machines that a job may run on, of kinds that serve.
-func ToBeHad(types map[string]protocol.MachineType, s *protocol.JobSpec, serves func(Kind) bool) bool {
+// AnyRentable reports whether the cloud may have a machine of an acceptable kind that the job may run on.
+func AnyRentable(types map[string]protocol.MachineType, s *protocol.JobSpec, acceptable func(Kind) bool) bool {
 	for _, t := range types {
 		if !t.Takes(s) {
 			continue
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				if s.Allows(t.Name, zone, spot) && serves(Kind{t.Name, zone, spot}) {
+				if s.Allows(t.Name, zone, spot) && acceptable(Kind{t.Name, zone, spot}) {
 					return true
 				}
 			}
@@ -283,7 +281,7 @@
 	return false
 }
 
-// rentable tells whether the cloud may have machines for the demand in a zone.
+// rentable reports whether the cloud may have machines for the demand in a zone.
 func (d *Demand) rentable(in *Input, zone string) bool {
-	return ToBeHad(in.Types, d.Spec, func(k Kind) bool { return k.Zone == zone && !in.Refused(k) })
+	return AnyRentable(in.Types, d.Spec, func(k Kind) bool { return k.Zone == zone && !in.Refused(k) })
 }
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -23,72 +23,72 @@
 		return n
 	}
 	if rent, _ := plan(nil, Demand{Spec: protocoltest.Job(nil), Count: 4}); total(rent) != 2 || rent[0].Type != "small" || rent[0].Spot {
-		t.Errorf("four tasks need two small machines: %+v", rent)
+		t.Errorf("four tasks need two small machines, got %+v", rent)
 	}
 	if rent, _ := plan(nil, Demand{Spec: protocoltest.Job(func(s *protocol.JobSpec) { s.Spot = true }), Count: 4}); total(rent) != 2 || !rent[0].Spot {
-		t.Errorf("cheap machines for work that may use them: %+v", rent)
+		t.Errorf("work that may use spot machines needs two of them, got %+v", rent)
 	}
 	booting := &Machine{ID: "m1", Type: "small", Zone: "a", Booting: true, Free: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}
 	if rent, _ := plan([]*Machine{booting}, Demand{Spec: protocoltest.Job(nil), Count: 2}); total(rent) != 0 {
-		t.Errorf("machines that boot count: %+v", rent)
+		t.Errorf("booting machines must be counted, but rented %+v", rent)
 	}
 	refusedZone = "a"
 	if rent, _ := plan(nil, Demand{Spec: protocoltest.Job(nil), Count: 2}); total(rent) != 1 || rent[0].Zone != "b" {
-		t.Errorf("refused kinds are left alone for a while: %+v", rent)
+		t.Errorf("refused kinds must not be requested again at once: %+v", rent)
 	}
 	refusedZone = ""
 	idle := func() *Machine {
 		return &Machine{ID: "m2", Type: "small", Zone: "a", Free: protocol.Room{Cores: 8, Accels: 2, RAM: 64}, Idle: time.Minute}
 	}
 	if _, back := plan([]*Machine{idle()}); !slices.Equal(back, []string{"m2"}) {
-		t.Errorf("idle machines are returned: %v", back)
+		t.Errorf("idle machines must be returned, got %v", back)
 	}
 	if _, back := plan([]*Machine{idle()}, Demand{Spec: protocoltest.Job(nil), Count: 1, Spare: true}); len(back) != 0 {
-		t.Errorf("but not those kept ready: %v", back)
+		t.Errorf("idle machines kept ready must not be returned, got %v", back)
 	}
 	idleWork := Demand{Spec: protocoltest.Job(func(s *protocol.JobSpec) { s.Spot, s.Priority = true, "idle" }), Count: 400, Filler: true}
 	if rent, _ := plan(nil, idleWork); total(rent) != 2 || !rent[0].Spot {
-		t.Errorf("filler work must not starve, but costs little: %+v", rent)
+		t.Errorf("filler work needs two spot machines and no more, got %+v", rent)
 	}
-	if rent, _ := plan([]*Machine{{ID: "m4", Type: "small", Zone: "a", Yields: protocol.Room{Cores: 8, Accels: 2, RAM: 64}},
+	if rent, _ := plan([]*Machine{{ID: "m4", Type: "small", Zone: "a", FillerRoom: protocol.Room{Cores: 8, Accels: 2, RAM: 64}},
 		{ID: "m5", Type: "small", Zone: "a", Booting: true, Free: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}}, idleWork); total(rent) != 0 {
-		t.Errorf("what is there for it, or boots, counts: %+v", rent)
+		t.Errorf("machines that run or boot for filler work must be counted, but rented %+v", rent)
 	}
-	filled := &Machine{ID: "m3", Type: "small", Zone: "a", Yields: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}
+	filled := &Machine{ID: "m3", Type: "small", Zone: "a", FillerRoom: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}
 	high := protocoltest.Job(func(s *protocol.JobSpec) { s.Priority = "high" })
 	for _, spare := range []bool{false, true} {
-		// Otherwise it takes what was rented to be kept ready, again and again.
+		// The room is reset since the previous plan used it.
 		filled.Free = protocol.Room{}
 		if rent, _ := plan([]*Machine{filled}, Demand{Spec: high, Count: 2, Spare: spare}); total(rent) != 0 {
-			t.Errorf("filler work makes way: %+v", rent)
+			t.Errorf("filler work must be evicted before renting, but rented %+v", rent)
 		}
 	}
 	gang := protocoltest.Job(func(s *protocol.JobSpec) { s.Cores, s.Shape = 20, protocol.Gang })
 	if rent, _ := plan(nil, Demand{Spec: gang, Count: 1}, Demand{Spec: protocoltest.Job(nil), Count: 2}); total(rent) != 1 || rent[0].Type != "large" {
-		t.Errorf("small work goes beside the large: %+v", rent)
+		t.Errorf("small tasks must share the large task's machine, got %+v", rent)
 	}
 }
 
-// Machines that come late are not replaced while others of their type come late
-// too, and one that never comes is given back all the same.
-func TestLateMachines(t *testing.T) {
+// Late machines are not replaced while others of their type are late, too, and one that never comes up is still
+// returned.
+func TestBootTimeouts(t *testing.T) {
 	const boot = 40 * time.Second
-	usual, gone := BootLimits(boot, nil)
-	if usual != 77*time.Second || gone != 119*time.Second {
-		t.Errorf("%v, %v", usual, gone)
+	usualLate, usualNever := BootTimeouts(boot, nil)
+	if usualLate != 77*time.Second || usualNever != 119*time.Second {
+		t.Errorf("nothing observed: %v, %v", usualLate, usualNever)
 	}
 	slow := []time.Duration{90 * time.Second, 95 * time.Second, 110 * time.Second, 100 * time.Second, 30 * time.Second}
-	if late, never := BootLimits(boot, slow); late != 125*time.Second || never != 200*time.Second {
+	if late, never := BootTimeouts(boot, slow); late != 125*time.Second || never != 200*time.Second {
 		t.Errorf("slow ones: %v, %v", late, never)
 	}
 	quick := []time.Duration{time.Second, time.Second, time.Second, time.Second, 300 * time.Second}
-	if late, never := BootLimits(boot, quick); late != usual || never != gone {
+	if late, never := BootTimeouts(boot, quick); late != usualLate || never != usualNever {
 		t.Errorf("quick ones: %v, %v", late, never)
 	}
 }
 
-// Short tasks share room one after the other, if the users' aim leaves time.
-func TestRoomForArrays(t *testing.T) {
+// Short tasks share room one after the other if the start-time target leaves time for it.
+func TestConcurrentTasks(t *testing.T) {
 	for _, c := range []struct {
 		tasks          int
 		estimate, left time.Duration
@@ -100,15 +100,15 @@
 		{3, time.Second, 400 * time.Second, 1},
 		{7, time.Minute, -time.Second, 7},
 	} {
-		if got := InTurn(c.tasks, c.estimate, c.left); got != c.want {
-			t.Errorf("%d of %v in %v: %d", c.tasks, c.estimate, c.left, got)
+		if got := ConcurrentTasks(c.tasks, c.estimate, c.left); got != c.want {
+			t.Errorf("%d tasks of %v in %v: %d at a time, want %d", c.tasks, c.estimate, c.left, got, c.want)
 		}
 	}
 }
 
-// Machines without tasks go at once, as long as the others have room for what
-// comes; what filler work would like to have keeps none.
-func TestSurplusMachinesGoAtOnce(t *testing.T) {
+// Machines without tasks are returned at once as long as the others have room for unexpected work; demands of
+// filler work keep none.
+func TestSurplusMachinesAreReturned(t *testing.T) {
 	fleet := func(busy, empty int) (ms []*Machine) {
 		for n := range busy + empty {
 			m := &Machine{ID: fmt.Sprintf("m%02d", n), Type: "small", Zone: "a", Free: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}
@@ -138,9 +138,9 @@
 	}
 }
 
-// Room is kept ready for those for whom a machine would be late: a class whose
-// image takes nearly as long as its aim once had a third of the fleet kept empty.
-func TestRoomKeptReady(t *testing.T) {
+// Room is kept ready only for tasks for which a rented machine would be late: a class whose image takes nearly
+// as long as its target had a third of the fleet kept empty.
+func TestSpareTasks(t *testing.T) {
 	now := time.Now()
 	arrivals := func(image float64) *Class { // one a second
 		c := &Class{Spec: protocoltest.Job(nil), ImageGB: image}
@@ -149,12 +149,12 @@
 		}
 		return c
 	}
-	for image, want := range map[float64]int{0.5: 5, 3: 8, 30: 38} { // wanted within 10 s, boots in 13 s
-		if n, _ := Spare(arrivals(image), protocoltest.Types(), 10*time.Second, 1, now, now.Add(-time.Hour)); n != want {
+	for image, want := range map[float64]int{0.5: 5, 3: 8, 30: 38} { // start target 10 s, boot time 13 s
+		if n, _ := SpareTasks(arrivals(image), protocoltest.Types(), 10*time.Second, 1, now, now.Add(-time.Hour)); n != want {
 			t.Errorf("image of %v GB: room for %d tasks, want %d", image, n, want)
 		}
 	}
-	if n, _ := Spare(arrivals(3), protocoltest.Types(), math.MaxInt64, 1, now, now.Add(-time.Hour)); n != 0 {
-		t.Errorf("no aim, but room for %d tasks", n)
+	if n, _ := SpareTasks(arrivals(3), protocoltest.Types(), math.MaxInt64, 1, now, now.Add(-time.Hour)); n != 0 {
+		t.Errorf("room for %d tasks without a start target", n)
 	}
 }
--- a/internal/learn/runs.go
+++ b/internal/learn/runs.go
@@ -1,5 +1,5 @@
-// Package learn keeps what was seen of how long work takes, beside what its owners
-// estimate: bounded, and forgetting, so that it follows when work changes.
+// Package learn keeps observed run times of tasks, to be used in place of their owners' estimates. The history
+// is bounded and forgets old runs, so that it follows changes in the work.
 package learn
 
 import (
@@ -8,28 +8,28 @@
 )
 
 const (
-	// MaxClasses bounds the classes that are kept, and newest how many runs of each.
+	// MaxClasses bounds the classes that are kept, and maxSamples the latest run times of each.
 	MaxClasses = 64
-	newest     = 64
-	// enough runs were seen for them to count more than an estimate.
-	enough = 5
+	maxSamples = 64
+	// minSamples is how many run times it takes to replace the estimate.
+	minSamples = 5
 )
 
-// Runs are the run times of tasks, by class of jobs. The zero value is ready.
-type Runs struct {
+// RunTimes holds the run times of tasks, by class of jobs. The zero value is ready to use.
+type RunTimes struct {
 	classes map[string]*class
 	clock   uint64
 }
 
 type class struct {
-	ran  []time.Duration // a ring of the newest
-	next int
-	used uint64
+	samples  []time.Duration // a ring buffer of the latest
+	next     int
+	lastUsed uint64
 }
 
-// Note takes in how long a task ran that was completed. Of too many classes the one that
-// was not heard of for longest is forgotten.
-func (r *Runs) Note(name string, ran time.Duration) {
+// Record adds the run time of a completed task. When there are too many classes, the least recently used is
+// dropped.
+func (r *RunTimes) Record(name string, runTime time.Duration) {
 	if r.classes == nil {
 		r.classes = map[string]*class{}
 	}
@@ -39,7 +39,7 @@
 		if len(r.classes) >= MaxClasses {
 			oldest := ""
 			for n, o := range r.classes {
-				if oldest == "" || o.used < r.classes[oldest].used {
+				if oldest == "" || o.lastUsed < r.classes[oldest].lastUsed {
 					oldest = n
 				}
 			}
@@ -48,26 +48,26 @@
 		c = &class{}
 		r.classes[name] = c
 	}
-	c.used = r.clock
-	if len(c.ran) < newest {
-		c.ran = append(c.ran, ran)
+	c.lastUsed = r.clock
+	if len(c.samples) < maxSamples {
+		c.samples = append(c.samples, runTime)
 		return
 	}
-	c.ran[c.next] = ran
-	c.next = (c.next + 1) % newest
+	c.samples[c.next] = runTime
+	c.next = (c.next + 1) % maxSamples
 }
 
-// Mean is how long tasks of a class run, by those seen lately without the longest and
-// the shortest eighth, or, as long as few were seen, as their owner estimates.
-func (r *Runs) Mean(name string, estimate time.Duration) time.Duration {
+// Mean is the mean run time of a class's latest tasks without the longest and the shortest eighth, or the
+// estimate while there are fewer than minSamples.
+func (r *RunTimes) Mean(name string, estimate time.Duration) time.Duration {
 	c := r.classes[name]
-	if c == nil || len(c.ran) < enough {
+	if c == nil || len(c.samples) < minSamples {
 		return estimate
 	}
-	sorted := slices.Clone(c.ran)
+	sorted := slices.Clone(c.samples)
 	slices.Sort(sorted)
-	cut := len(sorted) / 8
-	sorted = sorted[cut : len(sorted)-cut]
+	trim := len(sorted) / 8
+	sorted = sorted[trim : len(sorted)-trim]
 	total := time.Duration(0)
 	for _, d := range sorted {
 		total += d
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -11,8 +11,8 @@
 	"daledyke/internal/protocoltest"
 )
 
-// BenchmarkRound places one task on a fleet that is three quarters full, and looks for what
-// could be stopped for another that finds no room: what a round does for each task.
+// BenchmarkRound measures what a placement round does for each task: it places one task on a fleet that is three
+// quarters full, and finds what to evict for another that has no room.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{100, 400, 1400, 6000} {
 		var machines []*board.Machine
@@ -23,11 +23,11 @@
 			}
 			machines = append(machines, m)
 		}
-		p := &Placing{Types: protocoltest.Types(), Sample: 6, Rand: rand.New(rand.NewPCG(1, 2))}
+		p := &Placer{Types: protocoltest.Types(), SampleSize: 6, Rand: rand.New(rand.NewPCG(1, 2))}
 		b.Run(fmt.Sprintf("fit/%d", n), func(b *testing.B) {
 			p.Spec = protocoltest.Job(nil)
 			for b.Loop() {
-				p.Gather(machines)
+				p.FindCandidates(machines)
 				if _, ok := p.BestFit(); !ok {
 					b.Fatal("no room")
 				}
@@ -38,8 +38,8 @@
 			victim, by := Claim{Spec: protocoltest.Job(nil), Rank: 1}, Claim{Spec: p.Spec, Rank: 3}
 			now := time.Now()
 			for b.Loop() {
-				if _, ok := p.Preempt(machines, 1e9, func(i *board.Instance) (Victim, bool) { return Price(i, victim, by, now) }); !ok {
-					b.Fatal("nothing to stop")
+				if _, ok := p.Preempt(machines, 1e9, func(i *board.Instance) (Victim, bool) { return EvictionCost(i, victim, by, now) }); !ok {
+					b.Fatal("nothing to evict")
 				}
 			}
 		})
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -1,9 +1,9 @@
-// Package placement decides on which machine a task starts, what has to make
-// room for it, how a gang goes on and who is to blame when tasks fail. All of it
-// are pure functions of a snapshot: actors ask, and act on the answer.
+// Package placement decides on which machine a task starts, which tasks are evicted for it, what a gang
+// needs next, and whether a job or a machine is at fault when tasks fail. All decisions are pure
+// functions of a snapshot; actors call them and act on the results.
 //
-// Rules: best fit among a few machines drawn is "Rule" of the design; preemption
-// follows "Preemption" of the users' protocol, gangs its "Gangs".
+// Rules: best fit among a few sampled machines is "Rule" of the design; preemption follows "Preemption"
+// of the users' protocol, gangs its "Gangs".
 package placement
 
 import (
@@ -16,90 +16,90 @@
 	"daledyke/internal/protocol"
 )
 
-// Choice is a machine for a task, and what has to go for it.
+// Choice is the machine selected for a task.
 type Choice struct {
 	Machine *board.Machine
-	// Evict names tasks on it that have to go first.
+	// Evict names the tasks on the machine that must be evicted first.
 	Evict []string
 }
 
-// Placing is all that a decision on one task needs.
-type Placing struct {
+// Placer holds the inputs of the placement of one job's tasks.
+type Placer struct {
 	Spec *protocol.JobSpec
-	// Zone is the only one to look in, any if empty.
+	// Zone is the only zone to search; empty means any.
 	Zone string
-	// Avoid are machines on which tasks of the job failed.
+	// Avoid holds the machines on which tasks of the job failed.
 	Avoid map[string]bool
 	Types map[string]protocol.MachineType
-	// Scarce are the types that some other class of jobs cannot do without.
+	// Scarce holds the machine types that some other class of jobs cannot do without.
 	Scarce map[string]bool
-	// Sample is how many machines are drawn of those with room, and of those
-	// with the image as well.
-	Sample int
-	Rand   *rand.Rand
-	// Keep: scarce machines are not to be used. A service would hold them for
-	// good, while work that fits nowhere else waits.
-	Keep bool
-	// Dear are types on which the task, a service's, costs far more than elsewhere; Shun:
-	// they are not to be used.
-	Dear map[string]bool
-	Shun bool
-	// Zones is how many tasks of the job each zone has.
-	Zones map[string]int
-	// with and without hold the machines that had room when they were
-	// gathered, by whether they have the image.
-	with, without []*board.Machine
+	// SampleSize is how many candidates BestFit samples from the machines with room that have the image,
+	// and again from those that lack it.
+	SampleSize int
+	Rand       *rand.Rand
+	// AvoidScarce excludes machines of scarce types. A service would hold such a machine indefinitely
+	// while work that fits nowhere else waits.
+	AvoidScarce bool
+	// Expensive holds the types on which the task, a service's, costs far more than elsewhere;
+	// AvoidExpensive excludes them.
+	Expensive      map[string]bool
+	AvoidExpensive bool
+	// TasksByZone counts the job's tasks in each zone.
+	TasksByZone map[string]int
+	// withImage and withoutImage hold the candidates that FindCandidates found, by whether they have
+	// the image.
+	withImage, withoutImage []*board.Machine
 }
 
-func (p *Placing) allowed(m *board.Machine) bool {
-	return m.Current && m.Usable && !p.avoids(m.ID) && !(p.Keep && p.Scarce[m.Type]) && !(p.Shun && p.Dear[m.Type]) && p.Spec.Allows(m.Type, m.Zone, m.Spot) && p.zoneAllowed(m.Zone)
+func (p *Placer) allowed(m *board.Machine) bool {
+	return m.Current && m.Usable && !p.avoids(m.ID) && !(p.AvoidScarce && p.Scarce[m.Type]) && !(p.AvoidExpensive && p.Expensive[m.Type]) && p.Spec.Allows(m.Type, m.Zone, m.Spot) && p.zoneAllowed(m.Zone)
 }
 
-// zoneAllowed tells whether one task more may be in the zone.
-func (p *Placing) zoneAllowed(zone string) bool {
-	if p.Zone != "" && zone != p.Zone || p.Spec.OneZone && len(p.Zones) > 0 && p.Zones[zone] == 0 {
+// zoneAllowed reports whether the zone may take one more task.
+func (p *Placer) zoneAllowed(zone string) bool {
+	if p.Zone != "" && zone != p.Zone || p.Spec.OneZone && len(p.TasksByZone) > 0 && p.TasksByZone[zone] == 0 {
 		return false
 	}
-	return !p.Spec.Scatter || p.Zones[zone] < p.Spec.ZoneShare()
+	return !p.Spec.Scatter || p.TasksByZone[zone] < p.Spec.ZoneShare()
 }
 
-func (p *Placing) avoids(machine string) bool {
+func (p *Placer) avoids(machine string) bool {
 	_, bad := p.Avoid[machine]
 	return bad
 }
 
-// Gather finds the machines with room for a task; several tasks of a job can
-// be placed on what was gathered once.
-func (p *Placing) Gather(machines []*board.Machine) {
-	p.with, p.without = nil, nil
+// FindCandidates collects the machines with room for a task. Several tasks of a job can be placed on
+// one set of candidates.
+func (p *Placer) FindCandidates(machines []*board.Machine) {
+	p.withImage, p.withoutImage = nil, nil
 	for _, m := range machines {
 		if !p.fits(m) {
 			continue
 		}
 		if slices.Contains(m.Images, p.Spec.Image) {
-			p.with = append(p.with, m)
+			p.withImage = append(p.withImage, m)
 		} else {
-			p.without = append(p.without, m)
+			p.withoutImage = append(p.withoutImage, m)
 		}
 	}
 }
 
-func (p *Placing) fits(m *board.Machine) bool {
-	return m.Free.Sub(m.Promised).Fits(p.Spec.Need()) && p.allowed(m)
+func (p *Placer) fits(m *board.Machine) bool {
+	return m.Free.Sub(m.RequestedRoom).Fits(p.Spec.Need()) && p.allowed(m)
 }
 
-// BestFit draws a few of the machines that have room, as many again of those
-// that have the task's image, and takes the best of the draw.
-func (p *Placing) BestFit() (Choice, bool) {
+// BestFit samples up to SampleSize candidates with the task's image and as many without it, and selects
+// the one of lowest cost.
+func (p *Placer) BestFit() (Choice, bool) {
 	var best *board.Machine
 	var bestCost float64
-	for _, pool := range []*[]*board.Machine{&p.with, &p.without} {
-		for k := 0; k < min(p.Sample, len(*pool)); {
+	for _, pool := range []*[]*board.Machine{&p.withImage, &p.withoutImage} {
+		for k := 0; k < min(p.SampleSize, len(*pool)); {
 			l := *pool
 			i := k + p.Rand.IntN(len(l)-k)
 			l[k], l[i] = l[i], l[k]
 			m := l[k]
-			if !p.fits(m) { // room only shrinks while a job is placed
+			if !p.fits(m) { // free room only shrinks while a job is placed
 				last := len(l) - 1
 				l[k] = l[last]
 				*pool = l[:last]
@@ -114,31 +114,31 @@
 	return Choice{Machine: best}, best != nil
 }
 
-// Cost is how badly a machine fits, in seconds' worth: the fetch, the room left
-// over, and what else the machine would be better for.
-func (p *Placing) Cost(m *board.Machine) float64 {
+// Cost is the cost of placing the task on a machine, in seconds: the time to fetch the image, the room
+// left unused, and penalties for scarce, expensive and non-spot machines.
+func (p *Placer) Cost(m *board.Machine) float64 {
 	t := p.Types[m.Type]
 	whole := t.Room()
-	c := p.Fetch(m).Seconds()
-	left := m.Free.Sub(m.Promised).Sub(p.Spec.Need())
+	c := p.FetchTime(m).Seconds()
+	left := m.Free.Sub(m.RequestedRoom).Sub(p.Spec.Need())
 	c += 8 * left.Share(whole)
-	if p.Scarce[t.Name] && RunsOnOthers(p.Spec, p.Types, p.Scarce) {
-		c += 15 // keep machines whole for what fits nowhere else
+	if p.Scarce[t.Name] && HasNonScarceType(p.Spec, p.Types, p.Scarce) {
+		c += 15 // keep scarce machines free for work that fits nowhere else
 	}
 	if p.Spec.Spot && !m.Spot {
 		c += 4
 	}
-	if p.Dear[m.Type] {
-		c += dearCost
+	if p.Expensive[m.Type] {
+		c += expensiveTypePenalty
 	}
 	return c
 }
 
-// dearCost is what it is worth, in seconds, that a service does not stay on a dear machine.
-const dearCost = 6
+// expensiveTypePenalty is the cost, in seconds, of placing a service on an expensive type.
+const expensiveTypePenalty = 6
 
-// RunsOnOthers tells whether a job has types to run on that are not scarce.
-func RunsOnOthers(s *protocol.JobSpec, types map[string]protocol.MachineType, scarce map[string]bool) bool {
+// HasNonScarceType reports whether a job can run on a type that is not scarce.
+func HasNonScarceType(s *protocol.JobSpec, types map[string]protocol.MachineType, scarce map[string]bool) bool {
 	for _, t := range types {
 		if !scarce[t.Name] && t.Takes(s) {
 			return true
@@ -147,9 +147,9 @@
 	return false
 }
 
-// Fetch is how long a machine will take to have the task's image. Images that
-// are fetched at the same time share the machine's rate.
-func (p *Placing) Fetch(m *board.Machine) time.Duration {
+// FetchTime is how long a machine will take to have the task's image. Images that are fetched at the same
+// time share the machine's fetch rate.
+func (p *Placer) FetchTime(m *board.Machine) time.Duration {
 	t := p.Types[m.Type]
 	whole := t.FetchTime(p.Spec.ImageGB)
 	switch {
@@ -161,55 +161,54 @@
 	return whole * time.Duration(1+len(m.Pulling))
 }
 
-// Victim is what preemption needs to know of a task on a machine.
+// Victim is a task that preemption may evict, with the room that it frees and the cost of evicting it.
 type Victim struct {
-	Name  string
-	Need  protocol.Room
-	Price float64
+	Name string
+	Need protocol.Room
+	Cost float64
 }
 
-// Preempt finds the machine on which the least is lost by stopping work of
-// lower priority. price gives what stopping a task would cost, or false if it
-// may not be stopped.
-// The machine must be worth more than what else there is, if anything.
-func (p *Placing) Preempt(machines []*board.Machine, orElse float64, price func(*board.Instance) (Victim, bool)) (Choice, bool) {
+// Preempt selects the machine on which placing the task by evicting work of lower priority costs least,
+// provided the cost is below maxCost, the cost of the best alternative. cost gives the cost of evicting
+// a task, or false if it may not be evicted.
+func (p *Placer) Preempt(machines []*board.Machine, maxCost float64, cost func(*board.Instance) (Victim, bool)) (Choice, bool) {
 	var best Choice
-	bestPrice := orElse
+	bestCost := maxCost
 	need := p.Spec.Need()
-	var can, chosen []Victim // used again for each machine: there may be thousands
+	var candidates, victims []Victim // reused for each machine: there may be thousands
 	for _, m := range machines {
-		room := m.Free.Sub(m.Promised)
+		room := m.Free.Sub(m.RequestedRoom)
 		if room.Fits(need) || !p.allowed(m) {
-			continue // nothing has to go, or nothing would help
+			continue // no eviction is needed, or none would help
 		}
 		if t := p.Types[m.Type]; !t.Room().Fits(need) {
 			continue
 		}
 		total := p.Cost(m)
-		if total >= bestPrice {
-			continue // what has to go costs something, too
+		if total >= bestCost {
+			continue // evictions only add to the cost
 		}
-		can = can[:0]
+		candidates = candidates[:0]
 		for _, i := range m.Instances {
-			if e, ok := price(i); ok {
-				can = append(can, e)
+			if e, ok := cost(i); ok {
+				candidates = append(candidates, e)
 			}
 		}
-		slices.SortFunc(can, func(a, b Victim) int {
-			return cmp.Or(cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
+		slices.SortFunc(candidates, func(a, b Victim) int {
+			return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Name, b.Name))
 		})
 		n := 0
-		for n < len(can) && !room.Fits(need) && total < bestPrice {
-			room = room.Add(can[n].Need)
-			total += can[n].Price
+		for n < len(candidates) && !room.Fits(need) && total < bestCost {
+			room = room.Add(candidates[n].Need)
+			total += candidates[n].Cost
 			n++
 		}
-		if room.Fits(need) && total < bestPrice {
-			best.Machine, bestPrice = m, total
-			chosen = append(chosen[:0], can[:n]...)
+		if room.Fits(need) && total < bestCost {
+			best.Machine, bestCost = m, total
+			victims = append(victims[:0], candidates[:n]...)
 		}
 	}
-	for _, e := range chosen {
+	for _, e := range victims {
 		best.Evict = append(best.Evict, e.Name)
 	}
 	return best, best.Machine != nil
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -10,39 +10,39 @@
 // GangStep is what a gang needs next.
 type GangStep int
 
-// The steps of a gang, in the order in which they are looked for.
+// The steps of a gang, in the order in which NextGangStep checks for them.
 const (
-	// GangRests: nothing is to be done, or it runs.
-	GangRests GangStep = iota
-	// GangClears: exited attempts are being cleared away.
-	GangClears
-	// GangGathers: nothing of it is there; all its tasks need room at once.
-	GangGathers
-	// GangStarts: all its tasks have their room reserved.
-	GangStarts
-	// GangYields: what is there can't become a whole gang, and has to go.
-	GangYields
-	// GangCompletes: it has not begun; a replacement with the same attempt
-	// number completes it, at a place that is kept for it if there is one.
-	GangCompletes
-	// GangBroke: it ran and lacks a task; the rest notices by itself.
-	GangBroke
+	// GangNoAction: nothing is to be done now, as while the gang runs.
+	GangNoAction GangStep = iota
+	// GangClearExited: only exited attempts are left, and they are being cleared.
+	GangClearExited
+	// GangReserveAll: no task has an instance; all tasks need room at once.
+	GangReserveAll
+	// GangStart: all tasks have their room reserved.
+	GangStart
+	// GangReleaseAll: the present instances cannot become a whole gang and must be removed.
+	GangReleaseAll
+	// GangReplaceMissing: the gang has not started to run, and some tasks are missing or only reserved;
+	// replacements with the same attempt number complete it, on the machines reserved for them if any.
+	GangReplaceMissing
+	// GangBroken: the gang ran and has lost a task; its remaining tasks notice by themselves.
+	GangBroken
 )
 
-// GangState is what is on machines of a gang.
+// GangState is a gang's next step, worked out from its instances on machines.
 type GangState struct {
 	Step GangStep
-	// Attempt is that of the tasks that are there.
+	// Attempt is the attempt number of the live instances.
 	Attempt uint64
 }
 
-// NextOfGang works out what a gang of so many tasks needs next, from what is on
-// machines of it ("Gangs" of the users' protocol: all start together or none).
-func NextOfGang(there map[int][]*board.Instance, tasks int) GangState {
-	live, reserved, begun, present := 0, 0, 0, 0
+// NextGangStep determines what a gang of the given number of tasks needs next from its instances on
+// machines, by task index ("Gangs" of the users' protocol: all start together or none).
+func NextGangStep(instances map[int][]*board.Instance, tasks int) GangState {
+	live, reserved, started, present := 0, 0, 0, 0
 	var attempt uint64
-	same := true
-	for _, list := range there {
+	sameAttempt := true
+	for _, list := range instances {
 		for _, i := range list {
 			present++
 			if i.Exited() {
@@ -50,44 +50,44 @@
 			}
 			live++
 			if attempt != 0 && attempt != i.Attempt {
-				same = false
+				sameAttempt = false
 			}
 			attempt = i.Attempt
 			switch i.State {
 			case board.TaskReserved:
 				reserved++
 			case protocol.TaskRunning, protocol.TaskFlushing:
-				begun++
+				started++
 			}
 		}
 	}
-	step := GangRests
+	step := GangNoAction
 	switch {
 	case live == 0 && present > 0:
-		step = GangClears
+		step = GangClearExited
 	case live == 0:
-		step = GangGathers
-	case reserved == tasks && same:
-		step = GangStarts
-	case reserved == live || !same:
-		step = GangYields
-	case (live < tasks || reserved > 0) && begun == 0 && present == live:
-		step = GangCompletes
-	case live < tasks && begun > 0:
-		step = GangBroke
+		step = GangReserveAll
+	case reserved == tasks && sameAttempt:
+		step = GangStart
+	case reserved == live || !sameAttempt:
+		step = GangReleaseAll
+	case (live < tasks || reserved > 0) && started == 0 && present == live:
+		step = GangReplaceMissing
+	case live < tasks && started > 0:
+		step = GangBroken
 	}
 	return GangState{step, attempt}
 }
 
-// GangAssembles tells whether every task of a gang that has not begun has its place, or is
-// about to (asked), though some waited in vain for those that are late: what has a place had
-// better keep it. A gang that lacks one gives up its others.
-func GangAssembles(there map[int][]*board.Instance, tasks int, asked func(index int) bool) bool {
+// GangCanAssemble reports whether every task of a gang that has not started has a place, or one was just
+// requested for it, even though some tasks gave up waiting for the late ones. Such a gang keeps its places;
+// a gang with a task that has no place gives up the others.
+func GangCanAssemble(instances map[int][]*board.Instance, tasks int, requested func(index int) bool) bool {
 	for index := range tasks {
-		if len(there[index]) == 0 && !asked(index) {
+		if len(instances[index]) == 0 && !requested(index) {
 			return false
 		}
-		for _, i := range there[index] {
+		for _, i := range instances[index] {
 			if i.Begun() || i.Exited() && i.Cause != protocol.CauseIncomplete {
 				return false
 			}
@@ -96,30 +96,29 @@
 	return true
 }
 
-// PickGang finds a machine for every task of a gang, nil if there are not
-// enough, and how long it takes until the last of them has its image. otherwise
-// is asked where no machine has room, if it is not nil.
-func (p *Placing) PickGang(tasks int, otherwise func() (Choice, bool)) (picks []Choice, fetch time.Duration) {
-	// What is picked is promised for as long as the others are looked for.
+// PickGang selects a machine for every task of a gang, nil if there are not enough, and returns how long it
+// takes until the last of them has its image. fallback, if not nil, is called when no machine has room.
+func (p *Placer) PickGang(tasks int, fallback func() (Choice, bool)) (choices []Choice, fetch time.Duration) {
+	// The room of the machines selected so far counts as requested while the others are selected.
 	defer func() {
-		for _, c := range picks {
-			c.Machine.Promised = c.Machine.Promised.Sub(p.Spec.Need())
+		for _, c := range choices {
+			c.Machine.RequestedRoom = c.Machine.RequestedRoom.Sub(p.Spec.Need())
 		}
-		if len(picks) < tasks {
-			picks = nil
+		if len(choices) < tasks {
+			choices = nil
 		}
 	}()
 	for range tasks {
 		c, ok := p.BestFit()
-		if !ok && otherwise != nil {
-			c, ok = otherwise()
+		if !ok && fallback != nil {
+			c, ok = fallback()
 		}
 		if !ok {
 			break
 		}
-		p.Zones[c.Machine.Zone]++
-		c.Machine.Promised = c.Machine.Promised.Add(p.Spec.Need())
-		picks, fetch = append(picks, c), max(fetch, p.Fetch(c.Machine))
+		p.TasksByZone[c.Machine.Zone]++
+		c.Machine.RequestedRoom = c.Machine.RequestedRoom.Add(p.Spec.Need())
+		choices, fetch = append(choices, c), max(fetch, p.FetchTime(c.Machine))
 	}
-	return picks, fetch
+	return choices, fetch
 }
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -7,8 +7,9 @@
 	"daledyke/internal/protocol"
 )
 
-// there are a gang's tasks by their states, "" for none; one of an exit names its cause.
-func there(states ...string) map[int][]*board.Instance {
+// instancesIn gives a gang's tasks one instance each in the given states, "" for none; an exit is given by
+// its cause.
+func instancesIn(states ...string) map[int][]*board.Instance {
 	all := map[int][]*board.Instance{}
 	for index, state := range states {
 		i := &board.Instance{TaskView: board.TaskView{Attempt: 7, State: state}}
@@ -23,35 +24,35 @@
 	return all
 }
 
-// What waited for its gang in vain keeps its place only while all others have theirs, and is
-// started again there.
-func TestGangThatAssembles(t *testing.T) {
+// A gang that gave up waiting for its peers keeps its places only while every other task has one, and restarts
+// there.
+func TestGangCanAssemble(t *testing.T) {
 	const r, p, w, run, in = board.TaskReserved, protocol.TaskPulling, protocol.TaskWaiting, protocol.TaskRunning, protocol.CauseIncomplete
 	nobody, last := func(int) bool { return false }, func(index int) bool { return index == 2 }
 	for _, c := range []struct {
-		there     map[int][]*board.Instance
-		asked     func(int) bool
+		instances map[int][]*board.Instance
+		requested func(int) bool
 		assembles bool
 		step      GangStep
 	}{
-		{there(w, p, p), nobody, true, GangRests},
-		{there(in, p, w), nobody, true, GangRests},       // it is being forgotten
-		{there(r, p, w), nobody, true, GangCompletes},    // and starts where it was
-		{there(r, r, w), nobody, true, GangCompletes},    //
-		{there(in, in, in), nobody, true, GangClears},    //
-		{there(r, r, r), nobody, true, GangStarts},       //
-		{there(in, p, ""), nobody, false, GangRests},     // one has no place: none is kept
-		{there(in, p, ""), last, true, GangRests},        // but it was just asked for
-		{there(w, p, ""), nobody, false, GangCompletes},  //
-		{there(r, r, ""), nobody, false, GangYields},     //
-		{there(in, run, run), nobody, false, GangBroke},  // it ran
-		{there("peers", p, w), nobody, false, GangRests}, // it is being stopped, or broke
+		{instancesIn(w, p, p), nobody, true, GangNoAction},
+		{instancesIn(in, p, w), nobody, true, GangNoAction},        // the exited attempt is being forgotten
+		{instancesIn(r, p, w), nobody, true, GangReplaceMissing},   // and restarts in its place
+		{instancesIn(r, r, w), nobody, true, GangReplaceMissing},   //
+		{instancesIn(in, in, in), nobody, true, GangClearExited},   //
+		{instancesIn(r, r, r), nobody, true, GangStart},            //
+		{instancesIn(in, p, ""), nobody, false, GangNoAction},      // one has no place: the others give theirs up
+		{instancesIn(in, p, ""), last, true, GangNoAction},         // but one was just requested
+		{instancesIn(w, p, ""), nobody, false, GangReplaceMissing}, //
+		{instancesIn(r, r, ""), nobody, false, GangReleaseAll},     //
+		{instancesIn(in, run, run), nobody, false, GangBroken},     // it ran
+		{instancesIn("peers", p, w), nobody, false, GangNoAction},  // it is being stopped, or is broken
 	} {
-		if got := GangAssembles(c.there, 3, c.asked); got != c.assembles {
-			t.Errorf("%v assembles: %v", c.there, got)
+		if got := GangCanAssemble(c.instances, 3, c.requested); got != c.assembles {
+			t.Errorf("%v can assemble: %v", c.instances, got)
 		}
-		if got := NextOfGang(c.there, 3); got.Step != c.step {
-			t.Errorf("%v: step %v, not %v", c.there, got.Step, c.step)
+		if got := NextGangStep(c.instances, 3); got.Step != c.step {
+			t.Errorf("%v: step %v, want %v", c.instances, got.Step, c.step)
 		}
 	}
 }
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -7,40 +7,39 @@
 	"daledyke/internal/protocol"
 )
 
-// Wait is what is known of a job that may be waiting.
-type Wait struct {
-	Final, Held, Needs, AtFault bool
-	// Until is how long it still waits for its time.
-	Until time.Duration
+// JobWait is the state of a job that may be waiting.
+type JobWait struct {
+	Final, Held, DependenciesPending, AtFault bool
+	// TimeToBegin is how long the job still waits for its begin time.
+	TimeToBegin time.Duration
 	// Missing is how many tasks are neither done nor on a machine.
 	Missing int
-	// Fetching is how long the first of those that wait for their image still
-	// has to, negative if none does; Gathered: some wait for their gang.
-	Fetching time.Duration
-	Gathered bool
-	// Incomplete: of some slot it is not known what is there.
-	Incomplete bool
-	// Quota is the account whose limit binds, if one does.
-	Quota string
-	// Asked: holders have been asked to start some.
-	Asked bool
-	// Limited tells whether the limit of its team binds. It is asked only if
-	// nothing before it explains the wait: it costs more than the rest.
-	Limited func() bool
-	// Coming tells whether machines that fit are on their way, and in how long
-	// the first is ready, negative if that can't be told.
-	Coming func() (ready time.Duration, coming bool)
-	// Age is since when it could be placed.
-	Age time.Duration
-	// Refused tells whether the cloud has none of what fits.
-	Refused func() bool
+	// FetchTimeLeft is the shortest remaining fetch time among the tasks that wait for their image,
+	// negative if none does; WaitsForGang: some tasks wait for the rest of their gang.
+	FetchTimeLeft time.Duration
+	WaitsForGang  bool
+	// SlotsIncomplete: the tasks on some slot's machines are not all known.
+	SlotsIncomplete bool
+	// BindingQuota is the account whose quota binds, empty if none does.
+	BindingQuota string
+	// StartRequested: holders were asked to start some of the tasks.
+	StartRequested bool
+	// AtTeamLimit reports whether the limit of the job's team binds. It costs more than the other checks
+	// and is called only if none before it explains the wait.
+	AtTeamLimit func() bool
+	// MachinesComing reports whether machines that fit are booting, and in how long the first is ready,
+	// negative if that is not known.
+	MachinesComing func() (ready time.Duration, coming bool)
+	// PlaceableFor is for how long the job could have been placed.
+	PlaceableFor time.Duration
+	// CloudRefused reports whether the cloud has no machine that fits.
+	CloudRefused func() bool
 }
 
-// On takes in which of a job's tasks are on machines; done tells which of them
-// are done.
-func (w *Wait) On(there map[int][]*board.Instance, done func(index int) bool, types map[string]protocol.MachineType, imageGB float64, now time.Time) {
-	w.Fetching = -1
-	for index, list := range there {
+// AddInstances takes in which of a job's tasks are on machines; done reports which tasks are done.
+func (w *JobWait) AddInstances(instances map[int][]*board.Instance, done func(index int) bool, types map[string]protocol.MachineType, imageGB float64, now time.Time) {
+	w.FetchTimeLeft = -1
+	for index, list := range instances {
 		if done(index) {
 			continue
 		}
@@ -49,55 +48,55 @@
 			t := types[i.Machine.Type]
 			switch {
 			case i.State == protocol.TaskWaiting:
-				w.Gathered = true
+				w.WaitsForGang = true
 			case i.State == protocol.TaskPulling || board.Unconfirmed(i.State):
-				if left := max(0, t.FetchTime(imageGB)-now.Sub(i.Since)); w.Fetching < 0 || left < w.Fetching {
-					w.Fetching = left
+				if left := max(0, t.FetchTime(imageGB)-now.Sub(i.FirstSeen)); w.FetchTimeLeft < 0 || left < w.FetchTimeLeft {
+					w.FetchTimeLeft = left
 				}
 			}
 		}
 	}
 }
 
-// placedWithin is how long placing usually takes.
-const placedWithin = 2 * time.Second
+// usualPlacementTime is how long placing usually takes.
+const usualPlacementTime = 2 * time.Second
 
-// Reason tells why no more of a job's tasks run than do, "" if nothing is
-// missing, and when the next should start, negative if that can't be told.
-func (w *Wait) Reason() (reason string, in time.Duration) {
+// Reason returns why no more of a job's tasks run, "" if none is missing, and in how long the next should
+// start, negative if that is not known.
+func (w *JobWait) Reason() (reason string, startsIn time.Duration) {
 	switch {
 	case w.Final:
 		return "", -1
 	case w.Held:
 		return protocol.ReasonHeld, -1
-	case w.Until > 0:
-		return protocol.ReasonTime, w.Until
-	case w.Needs:
+	case w.TimeToBegin > 0:
+		return protocol.ReasonTime, w.TimeToBegin
+	case w.DependenciesPending:
 		return protocol.ReasonNeeds, -1
 	case w.AtFault:
 		return protocol.ReasonFailing, -1
-	case w.Fetching >= 0:
-		return protocol.ReasonFetching, w.Fetching
-	case w.Gathered:
+	case w.FetchTimeLeft >= 0:
+		return protocol.ReasonFetching, w.FetchTimeLeft
+	case w.WaitsForGang:
 		return protocol.ReasonGang, -1
 	case w.Missing <= 0:
 		return "", -1
-	case w.Incomplete:
+	case w.SlotsIncomplete:
 		return protocol.ReasonSlots, -1
-	case w.Asked:
+	case w.StartRequested:
 		return protocol.ReasonPlacing, 0
-	case w.Limited():
+	case w.AtTeamLimit():
 		return protocol.ReasonLimit, -1
-	case w.Quota != "":
-		return protocol.ReasonQuota + w.Quota, -1
+	case w.BindingQuota != "":
+		return protocol.ReasonQuota + w.BindingQuota, -1
 	}
-	ready, coming := w.Coming()
+	ready, coming := w.MachinesComing()
 	switch {
 	case coming:
 		return protocol.ReasonBooting, ready
-	case w.Age < placedWithin:
+	case w.PlaceableFor < usualPlacementTime:
 		return protocol.ReasonPlacing, -1
-	case w.Refused():
+	case w.CloudRefused():
 		return protocol.ReasonNoCapacity, -1
 	}
 	return protocol.ReasonNoRoom, -1
--- a/internal/placement/sample_test.go
+++ b/internal/placement/sample_test.go
@@ -9,7 +9,7 @@
 	"daledyke/internal/protocol"
 )
 
-// sampledFleet is a fleet at 60 to 95% of its room, whose machines have some of 40 images.
+// sampledFleet is a fleet at 60 to 95% utilisation whose machines have some of 40 images.
 func sampledFleet(rng *rand.Rand, n int) []*board.Machine {
 	machines := make([]*board.Machine, n)
 	for k := range machines {
@@ -32,9 +32,9 @@
 
 var benchTypes = map[string]protocol.MachineType{"box": {Name: "box", Cores: 32, Accels: 4, RAM: 256, FetchRate: 0.12, Price: 8, SpotPrice: 2, Zones: []string{"a", "b"}}}
 
-// What a draw of d machines (with room, and as many with the image) costs beside looking at
-// all, on the same snapshots: with the six of the default no task is placed worse by more than
-// 2 s on average, be there 100 machines or 6,000.
+// The cost of the best of d sampled machines (d with the image, d without) against a full scan of the same
+// snapshots: with the default of six, tasks are placed worse by at most 2 s on average, with 100 machines as
+// with 6,000.
 func TestSampledFitIsNearTheFullScan(t *testing.T) {
 	for _, n := range []int{100, 400, 1400, 6000} {
 		excess := map[int]float64{}
@@ -46,8 +46,8 @@
 				s := &protocol.JobSpec{ID: fmt.Sprint("wk-", k), Shape: protocol.Array, Tasks: 1, Cores: 2 + 6*rng.Float64(), Accels: 1, RAM: 20, Image: fmt.Sprint("img-", int(40*rng.Float64()*rng.Float64())), ImageGB: 6, Spot: true}
 				cost := map[int]float64{}
 				for _, d := range []int{1, 2, 4, 6, 8, n} {
-					p := &Placing{Spec: s, Types: benchTypes, Sample: d, Rand: rng, Zones: map[string]int{}}
-					p.Gather(machines)
+					p := &Placer{Spec: s, Types: benchTypes, SampleSize: d, Rand: rng, TasksByZone: map[string]int{}}
+					p.FindCandidates(machines)
 					c, ok := p.BestFit()
 					if !ok {
 						break
@@ -63,21 +63,21 @@
 				}
 			}
 		}
-		t.Logf("%d machines, %d tasks: seconds' worth above the full scan: d=1 %.2f, 2 %.2f, 4 %.2f, 6 %.2f, 8 %.2f", n, tasks,
+		t.Logf("%d machines, %d tasks: cost in seconds above the full scan: d=1 %.2f, 2 %.2f, 4 %.2f, 6 %.2f, 8 %.2f", n, tasks,
 			excess[1]/float64(tasks), excess[2]/float64(tasks), excess[4]/float64(tasks), excess[6]/float64(tasks), excess[8]/float64(tasks))
 		if got := excess[6] / float64(tasks); got > 2 || got < 0 {
-			t.Errorf("%d machines: a draw of six costs %.2f more than the best", n, got)
+			t.Errorf("%d machines: the best of a sample of six costs %.2f more than the best of all", n, got)
 		}
 	}
 }
 
-// Seven owners that decide at once on the same snapshot don't all choose the same machines:
-// of what they ask for together, more than half is granted though there is hardly more
-// room than that, and no machine is asked for by all.
-func TestOwnersAtOnceDontHerd(t *testing.T) {
+// Seven owners that decide at the same time on the same snapshot spread their choices: more than half of what
+// they request together is granted although there is hardly more room than that, and no machine is requested by
+// all of them.
+func TestConcurrentOwnersSpreadChoices(t *testing.T) {
 	const owners, each = 7, 20
 	rng := rand.New(rand.NewPCG(7, 7))
-	asked, granted := 0, 0
+	requested, granted := 0, 0
 	for range 20 {
 		var machines []*board.Machine
 		for k := range 300 {
@@ -87,33 +87,33 @@
 			}
 			machines = append(machines, m)
 		}
-		wanted := map[string]int{}
+		requests := map[string]int{}
 		for range owners {
-			mine := make([]*board.Machine, len(machines))
+			view := make([]*board.Machine, len(machines))
 			for k, m := range machines {
 				n := *m
-				mine[k] = &n
+				view[k] = &n
 			}
-			p := &Placing{Spec: &protocol.JobSpec{ID: "wk-1", Tasks: each, Cores: 8, Accels: 1, RAM: 20, Image: "img-0", ImageGB: 6, Spot: true}, Types: benchTypes, Sample: 6, Rand: rng, Zones: map[string]int{}}
-			p.Gather(mine)
+			p := &Placer{Spec: &protocol.JobSpec{ID: "wk-1", Tasks: each, Cores: 8, Accels: 1, RAM: 20, Image: "img-0", ImageGB: 6, Spot: true}, Types: benchTypes, SampleSize: 6, Rand: rng, TasksByZone: map[string]int{}}
+			p.FindCandidates(view)
 			for range each {
 				c, ok := p.BestFit()
 				if !ok {
 					t.Fatal("no room")
 				}
-				c.Machine.Promised = c.Machine.Promised.Add(p.Spec.Need())
-				wanted[c.Machine.ID]++
-				asked++
+				c.Machine.RequestedRoom = c.Machine.RequestedRoom.Add(p.Spec.Need())
+				requests[c.Machine.ID]++
+				requested++
 			}
 		}
-		for id, n := range wanted {
-			granted++ // the first; the holder refuses the others
+		for id, n := range requests {
+			granted++ // the holder grants the first request and refuses the others
 			if n == owners {
-				t.Errorf("%s was asked for by all", id)
+				t.Errorf("%s was requested by all owners", id)
 			}
 		}
 	}
-	if t.Logf("%d of %d granted", granted, asked); 2*granted < asked {
-		t.Errorf("%d of %d granted", granted, asked)
+	if t.Logf("%d of %d granted", granted, requested); 2*granted < requested {
+		t.Errorf("%d of %d granted", granted, requested)
 	}
 }
