--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -34,7 +34,7 @@
 	Current    bool
 	EmptySince time.Time // zero while there are tasks
 	// FirstSeen is when the machine was first reported here.
-	FirstSeen     time.Time
+	FirstSeen time.Time
 	Instances []*Instance
 	// RequestedRoom is the room of requested starts that the view does not show yet.
 	RequestedRoom protocol.Room
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -101,7 +101,7 @@
 		{7, time.Minute, -time.Second, 7},
 	} {
 		if got := ConcurrentTasks(c.tasks, c.estimate, c.left); got != c.want {
-			t.Errorf("%d tasks of %v in %v: %d at a time, want %d", c.tasks, c.estimate, c.left, got, c.want)
+			t.Errorf("%d tasks of %v in %v: room for %d at a time", c.tasks, c.estimate, c.left, got)
 		}
 	}
 }
--- a/internal/placement/fault_test.go
+++ b/internal/placement/fault_test.go
@@ -22,7 +22,7 @@
 		"succeeded after it was judged at fault":   {map[string]bool{"m1": sound}, true, NotAtFault},
 	} {
 		if got := JudgeJob(c.failedOn, c.succeeded); got != c.want {
-			t.Errorf("%s: verdict %v, want %v", name, got, c.want)
+			t.Errorf("%s: verdict %v", name, got)
 		}
 	}
 	for name, c := range map[string]struct {
