--- a/internal/balance/vacate_test.go
+++ b/internal/balance/vacate_test.go
@@ -49,13 +49,13 @@
 		}
 		moveBudget := rapid.IntRange(0, 12).Draw(t, "move budget")
 		chosen := Vacate(in, nil, nil, moveBudget)
-		moved, taken := 0, protocol.Room{}
-		leaves := map[string]bool{}
+		moved, movedRoom := 0, protocol.Room{}
+		emptied := map[string]bool{}
 		for _, id := range chosen {
-			leaves[id] = true
+			emptied[id] = true
 			for _, r := range byID[id].Replicas {
 				moved++
-				taken = taken.Add(r.Spec.Need())
+				movedRoom = movedRoom.Add(r.Spec.Need())
 				if r.RunningFor < SettledAfter {
 					t.Fatalf("%s moves after %v", r.Spec.ID, r.RunningFor)
 				}
@@ -67,20 +67,20 @@
 		if moved > moveBudget {
 			t.Fatalf("%d moves with a budget of %d", moved, moveBudget)
 		}
-		given := protocol.Room{}
+		receivedRoom := protocol.Room{}
 		for _, m := range in.Machines {
 			if m.Free != free[m.ID] {
-				if leaves[m.ID] {
+				if emptied[m.ID] {
 					t.Fatalf("%s is emptied and receives services", m.ID)
 				}
 				if !m.Free.Fits(protocol.Room{}) {
 					t.Fatalf("%s is overfull: %v", m.ID, m.Free)
 				}
-				given = given.Add(free[m.ID].Sub(m.Free))
+				receivedRoom = receivedRoom.Add(free[m.ID].Sub(m.Free))
 			}
 		}
-		if d := given.Sub(taken); d.Cores > 1e-9 || d.Cores < -1e-9 {
-			t.Fatalf("services with %v are moved to room of %v", taken, given)
+		if d := receivedRoom.Sub(movedRoom); d.Cores > 1e-9 || d.Cores < -1e-9 {
+			t.Fatalf("services with %v are moved to room of %v", movedRoom, receivedRoom)
 		}
 	})
 }
@@ -105,16 +105,16 @@
 				n := *m
 				copied.Machines = append(copied.Machines, &n)
 			}
-			first := Vacate(&copied, nil, nil, 1000)
+			emptied := Vacate(&copied, nil, nil, 1000)
 			byID := map[string]*fleet.Machine{}
 			for _, m := range in.Machines {
 				byID[m.ID] = m
 			}
-			if len(first) == 0 {
+			if len(emptied) == 0 {
 				return
 			}
 			// Carry the plan out: the emptied machines go, others receive their services.
-			var left []*fleet.Machine
+			var remaining []*fleet.Machine
 			for i, m := range copied.Machines {
 				if n := in.Machines[i]; m.Free != n.Free {
 					m.Replicas = append(m.Replicas[:len(m.Replicas):len(m.Replicas)], fleet.Replica{Spec: &protocol.JobSpec{ID: "wk-moved", Shape: protocol.Service, Tasks: 1, Cores: n.Free.Sub(m.Free).Cores,
@@ -122,75 +122,75 @@
 				}
 			}
 			for _, m := range copied.Machines {
-				gone := false
-				for _, id := range first {
-					gone = gone || id == m.ID
+				isEmptied := false
+				for _, id := range emptied {
+					isEmptied = isEmptied || id == m.ID
 				}
-				if !gone {
-					left = append(left, m)
+				if !isEmptied {
+					remaining = append(remaining, m)
 				}
 			}
-			in = &fleet.Input{Types: in.Types, Scarce: in.Scarce, Machines: left}
+			in = &fleet.Input{Types: in.Types, Scarce: in.Scarce, Machines: remaining}
 		}
 	})
 }
 
 // Readable snapshots, one for each rule.
 func TestVacate(t *testing.T) {
-	type given struct {
-		live    int
-		image   string
-		ran     time.Duration
-		others  bool
-		packed  bool
-		zone    string
-		scatter bool
+	type testMachine struct {
+		replicas   int
+		image      string
+		runningFor time.Duration
+		otherTasks bool
+		packed     bool
+		zone       string
+		scatter    bool
 	}
 	for _, c := range []struct {
-		name   string
-		fleet  []given
-		grew   bool
-		begun  []string
-		afford int
-		want   string
+		name       string
+		fleet      []testMachine
+		grown      bool
+		vacating   []string
+		moveBudget int
+		want       string
 	}{
-		{name: "a half-empty fleet is consolidated", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m0]"},
-		{name: "at most two machines at a time", fleet: []given{{live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}, {live: 1}}, afford: 9, want: "[m0 m2]"},
-		{name: "too little room elsewhere", fleet: []given{{live: 3}, {live: 3}, {live: 3}}, afford: 9, want: "[]"},
-		{name: "nothing while the type has grown", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, grew: true, afford: 9, want: "[]"},
-		{name: "recently moved replicas stay", fleet: []given{{live: 1, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}, {live: 2, ran: 20 * time.Second}}, afford: 9, want: "[]"},
-		{name: "no move budget", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, afford: 0, want: "[]"},
-		{name: "a machine being vacated goes on without a budget", fleet: []given{{live: 1}, {live: 2}, {live: 2}, {live: 2}}, begun: []string{"m0"}, afford: 0, want: "[m0]"},
-		{name: "a machine with other tasks is not vacated", fleet: []given{{live: 1, others: true}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m1]"},
-		{name: "room that the plan uses is not counted on", fleet: []given{{live: 1, packed: true}, {live: 2, packed: true}, {live: 2, packed: true}, {live: 2, packed: true}}, afford: 9, want: "[]"},
-		{name: "only to machines with the image", fleet: []given{{live: 1, image: "odd"}, {live: 2}, {live: 2}, {live: 2}}, afford: 9, want: "[m1]"},
-		{name: "a replica of a scattered service stays in its zone", fleet: []given{{live: 1, scatter: true}, {live: 2, zone: "b", scatter: true}, {live: 2, zone: "b", scatter: true}, {live: 2, zone: "b", scatter: true}}, afford: 9, want: "[m1]"},
+		{name: "a half-empty fleet is consolidated", fleet: []testMachine{{replicas: 1}, {replicas: 2}, {replicas: 2}, {replicas: 2}}, moveBudget: 9, want: "[m0]"},
+		{name: "at most two machines at a time", fleet: []testMachine{{replicas: 1}, {replicas: 1}, {replicas: 1}, {replicas: 1}, {replicas: 1}, {replicas: 1}, {replicas: 1}}, moveBudget: 9, want: "[m0 m2]"},
+		{name: "too little room elsewhere", fleet: []testMachine{{replicas: 3}, {replicas: 3}, {replicas: 3}}, moveBudget: 9, want: "[]"},
+		{name: "nothing while the type has grown", fleet: []testMachine{{replicas: 1}, {replicas: 2}, {replicas: 2}, {replicas: 2}}, grown: true, moveBudget: 9, want: "[]"},
+		{name: "recently moved replicas stay", fleet: []testMachine{{replicas: 1, runningFor: 20 * time.Second}, {replicas: 2, runningFor: 20 * time.Second}, {replicas: 2, runningFor: 20 * time.Second}, {replicas: 2, runningFor: 20 * time.Second}}, moveBudget: 9, want: "[]"},
+		{name: "no move budget", fleet: []testMachine{{replicas: 1}, {replicas: 2}, {replicas: 2}, {replicas: 2}}, moveBudget: 0, want: "[]"},
+		{name: "a machine being vacated goes on without a budget", fleet: []testMachine{{replicas: 1}, {replicas: 2}, {replicas: 2}, {replicas: 2}}, vacating: []string{"m0"}, moveBudget: 0, want: "[m0]"},
+		{name: "a machine with other tasks is not vacated", fleet: []testMachine{{replicas: 1, otherTasks: true}, {replicas: 2}, {replicas: 2}, {replicas: 2}}, moveBudget: 9, want: "[m1]"},
+		{name: "room that the plan uses is not counted on", fleet: []testMachine{{replicas: 1, packed: true}, {replicas: 2, packed: true}, {replicas: 2, packed: true}, {replicas: 2, packed: true}}, moveBudget: 9, want: "[]"},
+		{name: "only to machines with the image", fleet: []testMachine{{replicas: 1, image: "odd"}, {replicas: 2}, {replicas: 2}, {replicas: 2}}, moveBudget: 9, want: "[m1]"},
+		{name: "a replica of a scattered service stays in its zone", fleet: []testMachine{{replicas: 1, scatter: true}, {replicas: 2, zone: "b", scatter: true}, {replicas: 2, zone: "b", scatter: true}, {replicas: 2, zone: "b", scatter: true}}, moveBudget: 9, want: "[m1]"},
 	} {
 		in := &fleet.Input{Types: types, Scarce: map[string]bool{}}
 		for k, g := range c.fleet {
 			box := types["box"]
-			m := &fleet.Machine{ID: fmt.Sprintf("m%d", k), Type: "box", Zone: g.zone, OtherTasks: g.others, Packed: g.packed, Free: box.Room()}
+			m := &fleet.Machine{ID: fmt.Sprintf("m%d", k), Type: "box", Zone: g.zone, OtherTasks: g.otherTasks, Packed: g.packed, Free: box.Room()}
 			if m.Zone == "" {
 				m.Zone = "a"
 			}
 			if g.image == "" {
 				g.image = "x"
 			}
-			if g.ran == 0 {
-				g.ran = time.Hour
+			if g.runningFor == 0 {
+				g.runningFor = time.Hour
 			}
 			m.Images = []string{g.image}
-			for range g.live {
+			for range g.replicas {
 				s := &protocol.JobSpec{Shape: protocol.Service, Cores: 2, Accels: 1, RAM: 8, Image: g.image, Scatter: g.scatter}
-				m.Replicas, m.Free = append(m.Replicas, fleet.Replica{Spec: s, RunningFor: g.ran}), m.Free.Sub(s.Need())
+				m.Replicas, m.Free = append(m.Replicas, fleet.Replica{Spec: s, RunningFor: g.runningFor}), m.Free.Sub(s.Need())
 			}
 			in.Machines = append(in.Machines, m)
 		}
-		begun := map[string]bool{}
-		for _, id := range c.begun {
-			begun[id] = true
+		vacating := map[string]bool{}
+		for _, id := range c.vacating {
+			vacating[id] = true
 		}
-		if got := fmt.Sprint(Vacate(in, map[string]bool{"box": c.grew}, begun, c.afford)); got != c.want {
+		if got := fmt.Sprint(Vacate(in, map[string]bool{"box": c.grown}, vacating, c.moveBudget)); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
--- a/internal/fleet/expensive_test.go
+++ b/internal/fleet/expensive_test.go
@@ -26,7 +26,7 @@
 	rack := func() *Machine {
 		return &Machine{ID: "m1", Type: "rack", Zone: "a", Used: true, Free: protocol.Room{Cores: 40, Accels: 4, RAM: 300}, RoomByRank: [4]protocol.Room{0: {Cores: 24, Accels: 4, RAM: 212}}}
 	}
-	full := func() *Machine {
+	fullBox := func() *Machine {
 		return &Machine{ID: "m2", Type: "box", Zone: "a", Used: true, OtherTasks: true, RoomByRank: [4]protocol.Room{1: {Cores: 4, RAM: 16}}}
 	}
 	if n := plan([]*Machine{rack()}, Demand{Spec: gate, Count: 3}); n["box"] != 3 || n["rack"] != 0 {
@@ -39,7 +39,7 @@
 	if n := plan([]*Machine{rack()}, Demand{Spec: gate, Count: 3}); len(n) != 0 {
 		t.Errorf("without boxes, free room on a rack must be used: %v", n)
 	}
-	if n := plan([]*Machine{full()}, Demand{Spec: gate, Count: 1}); len(n) != 0 {
+	if n := plan([]*Machine{fullBox()}, Demand{Spec: gate, Count: 1}); len(n) != 0 {
 		t.Errorf("other work must be evicted from a box before a rack is rented: %v", n)
 	}
 	if n := plan(nil, Demand{Spec: gate, Count: 1}); n["rack"] != 1 {
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -40,11 +40,11 @@
 	idle := func() *Machine {
 		return &Machine{ID: "m2", Type: "small", Zone: "a", Free: protocol.Room{Cores: 8, Accels: 2, RAM: 64}, Idle: time.Minute}
 	}
-	if _, back := plan([]*Machine{idle()}); !slices.Equal(back, []string{"m2"}) {
-		t.Errorf("idle machines must be returned, got %v", back)
+	if _, returned := plan([]*Machine{idle()}); !slices.Equal(returned, []string{"m2"}) {
+		t.Errorf("idle machines must be returned, got %v", returned)
 	}
-	if _, back := plan([]*Machine{idle()}, Demand{Spec: protocoltest.Job(nil), Count: 1, Spare: true}); len(back) != 0 {
-		t.Errorf("idle machines kept ready must not be returned, got %v", back)
+	if _, returned := plan([]*Machine{idle()}, Demand{Spec: protocoltest.Job(nil), Count: 1, Spare: true}); len(returned) != 0 {
+		t.Errorf("idle machines kept ready must not be returned, got %v", returned)
 	}
 	idleWork := Demand{Spec: protocoltest.Job(func(s *protocol.JobSpec) { s.Spot, s.Priority = true, "idle" }), Count: 400, Filler: true}
 	if rent, _ := plan(nil, idleWork); total(rent) != 2 || !rent[0].Spot {
@@ -57,7 +57,8 @@
 	filled := &Machine{ID: "m3", Type: "small", Zone: "a", FillerRoom: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}
 	high := protocoltest.Job(func(s *protocol.JobSpec) { s.Priority = "high" })
 	for _, spare := range []bool{false, true} {
-		// The room is reset since the previous plan used it.
+		// Filler work is evicted for expected work, too: otherwise it took the machines rented to be kept ready,
+		// again and again.
 		filled.Free = protocol.Room{}
 		if rent, _ := plan([]*Machine{filled}, Demand{Spec: high, Count: 2, Spare: spare}); total(rent) != 0 {
 			t.Errorf("filler work must be evicted before renting, but rented %+v", rent)
@@ -90,9 +91,9 @@
 // Short tasks share room one after the other if the start-time target leaves time for it.
 func TestConcurrentTasks(t *testing.T) {
 	for _, c := range []struct {
-		tasks          int
-		estimate, left time.Duration
-		want           int
+		tasks              int
+		estimate, timeLeft time.Duration
+		want               int
 	}{
 		{25, 35 * time.Second, 93 * time.Second, 25},
 		{25000, 4 * time.Second, 320 * time.Second, 695},
@@ -100,8 +101,8 @@
 		{3, time.Second, 400 * time.Second, 1},
 		{7, time.Minute, -time.Second, 7},
 	} {
-		if got := ConcurrentTasks(c.tasks, c.estimate, c.left); got != c.want {
-			t.Errorf("%d tasks of %v in %v: room for %d at a time", c.tasks, c.estimate, c.left, got)
+		if got := ConcurrentTasks(c.tasks, c.estimate, c.timeLeft); got != c.want {
+			t.Errorf("%d tasks of %v in %v: room for %d at a time", c.tasks, c.estimate, c.timeLeft, got)
 		}
 	}
 }
@@ -119,21 +120,21 @@
 		}
 		return ms
 	}
-	greedy := Demand{Spec: protocoltest.Job(func(s *protocol.JobSpec) { s.Priority = "idle" }), Count: 100, Filler: true}
+	fillerDemand := Demand{Spec: protocoltest.Job(func(s *protocol.JobSpec) { s.Priority = "idle" }), Count: 100, Filler: true}
 	for _, c := range []struct {
-		busy, empty, gone int
-		demands           []Demand
+		busy, empty, unneeded int
+		demands               []Demand
 	}{
 		{20, 10, 10, nil},
-		{20, 10, 10, []Demand{greedy}},
+		{20, 10, 10, []Demand{fillerDemand}},
 		{20, 10, 0, []Demand{{Spec: protocoltest.Job(nil), Count: 34}}},
 		{0, 3, 2, nil},
 		{2, 1, 1, nil},
 		{1, 1, 0, nil},
 	} {
-		if _, gone := Plan(&Input{Types: protocoltest.Types(), Machines: fleet(c.busy, c.empty), Demands: c.demands, IdleAfter: time.Minute,
-			Refused: func(Kind) bool { return false }}); len(gone) != c.gone {
-			t.Errorf("%d busy and %d empty: %v", c.busy, c.empty, gone)
+		if _, unneeded := Plan(&Input{Types: protocoltest.Types(), Machines: fleet(c.busy, c.empty), Demands: c.demands, IdleAfter: time.Minute,
+			Refused: func(Kind) bool { return false }}); len(unneeded) != c.unneeded {
+			t.Errorf("%d busy and %d empty: %v", c.busy, c.empty, unneeded)
 		}
 	}
 }
--- a/internal/placement/fault_test.go
+++ b/internal/placement/fault_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Faulty jobs fail on every machine, faulty machines fail every job. A healthy machine was returned because
-// of two faulty jobs.
+// Faulty jobs fail on every machine, faulty machines fail every job. Guards against returning a healthy machine
+// because of two faulty jobs, which happened.
 func TestFaultAttribution(t *testing.T) {
 	const sound, unknown = true, false
 	for name, c := range map[string]struct {
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -27,28 +27,28 @@
 // A gang that gave up waiting for its peers keeps its places only while every other task has one, and restarts
 // there.
 func TestGangCanAssemble(t *testing.T) {
-	const r, p, w, run, in = board.TaskReserved, protocol.TaskPulling, protocol.TaskWaiting, protocol.TaskRunning, protocol.CauseIncomplete
-	nobody, last := func(int) bool { return false }, func(index int) bool { return index == 2 }
+	const r, p, w, run, incomplete = board.TaskReserved, protocol.TaskPulling, protocol.TaskWaiting, protocol.TaskRunning, protocol.CauseIncomplete
+	none, lastTask := func(int) bool { return false }, func(index int) bool { return index == 2 }
 	for _, c := range []struct {
-		instances map[int][]*board.Instance
-		requested func(int) bool
-		assembles bool
-		step      GangStep
+		instances   map[int][]*board.Instance
+		requested   func(int) bool
+		canAssemble bool
+		step        GangStep
 	}{
-		{instancesIn(w, p, p), nobody, true, GangNoAction},
-		{instancesIn(in, p, w), nobody, true, GangNoAction},        // the exited attempt is being forgotten
-		{instancesIn(r, p, w), nobody, true, GangReplaceMissing},   // and restarts in its place
-		{instancesIn(r, r, w), nobody, true, GangReplaceMissing},   //
-		{instancesIn(in, in, in), nobody, true, GangClearExited},   //
-		{instancesIn(r, r, r), nobody, true, GangStart},            //
-		{instancesIn(in, p, ""), nobody, false, GangNoAction},      // one has no place: the others give theirs up
-		{instancesIn(in, p, ""), last, true, GangNoAction},         // but one was just requested
-		{instancesIn(w, p, ""), nobody, false, GangReplaceMissing}, //
-		{instancesIn(r, r, ""), nobody, false, GangReleaseAll},     //
-		{instancesIn(in, run, run), nobody, false, GangBroken},     // it ran
-		{instancesIn("peers", p, w), nobody, false, GangNoAction},  // it is being stopped, or is broken
+		{instancesIn(w, p, p), none, true, GangNoAction},
+		{instancesIn(incomplete, p, w), none, true, GangNoAction}, // the exited attempt is being forgotten
+		{instancesIn(r, p, w), none, true, GangReplaceMissing},    // and the task restarts in its place
+		{instancesIn(r, r, w), none, true, GangReplaceMissing},
+		{instancesIn(incomplete, incomplete, incomplete), none, true, GangClearExited},
+		{instancesIn(r, r, r), none, true, GangStart},
+		{instancesIn(incomplete, p, ""), none, false, GangNoAction},    // one has no place: the others give theirs up
+		{instancesIn(incomplete, p, ""), lastTask, true, GangNoAction}, // but one was just requested
+		{instancesIn(w, p, ""), none, false, GangReplaceMissing},
+		{instancesIn(r, r, ""), none, false, GangReleaseAll},
+		{instancesIn(incomplete, run, run), none, false, GangBroken}, // it ran
+		{instancesIn("peers", p, w), none, false, GangNoAction},      // it is being stopped, or is broken
 	} {
-		if got := GangCanAssemble(c.instances, 3, c.requested); got != c.assembles {
+		if got := GangCanAssemble(c.instances, 3, c.requested); got != c.canAssemble {
 			t.Errorf("%v can assemble: %v", c.instances, got)
 		}
 		if got := NextGangStep(c.instances, 3); got.Step != c.step {
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -11,7 +11,7 @@
 // Claim is a job as preemption compares it with another, as preemptor or as victim.
 type Claim struct {
 	Spec *protocol.JobSpec
-	// Rank is the rank of the job's priority, or that of the jobs that depend on it.
+	// Rank is the rank of the job's priority, or that of the jobs that depend on it if higher.
 	Rank int
 	// Filler: nobody waits for the job.
 	Filler bool
