--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -174,8 +174,8 @@
 		if b == nil || !b.Complete {
 			return quota.Freshness{OwnersSince: ownersSince}
 		}
-		if n == 0 || b.Asked.Before(freshness.RequestedAt) {
-			freshness.RequestedAt = b.Asked
+		if n == 0 || b.RequestedAt.Before(freshness.RequestedAt) {
+			freshness.RequestedAt = b.RequestedAt
 		}
 	}
 	return freshness
@@ -222,7 +222,7 @@
 				}
 				cost := 0.0
 				if !s.Saves() {
-					cost = now.Sub(i.Since).Seconds()
+					cost = now.Sub(i.FirstSeen).Seconds()
 				}
 				if isGang {
 					w.ID, w.Need, w.StopCost = i.Task, w.Need.Add(j.Need), w.StopCost+cost
