--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -89,13 +89,13 @@
 		return confirmation{}
 	}
 	known, waitFor := h.cancelled.KnownSince(job), h.cfg.AnnounceFor()
-	if membership.MayTell(known, false, waitFor, now) {
+	if membership.AnnouncementDone(known, false, waitFor, now) {
 		return confirmation{may: true}
 	}
 	if h.announcements.Begin(job, h.audience()) {
 		h.announce(now)
 	}
-	if complete := h.announcements.Complete(job, h.hears); membership.MayTell(known, complete, waitFor, now) {
+	if complete := h.announcements.Complete(job, h.hears); membership.AnnouncementDone(known, complete, waitFor, now) {
 		return confirmation{may: true}
 	}
 	return confirmation{changed: h.acknowledged}
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -81,7 +81,7 @@
 
 // Owed answers a controller that has just started.
 func (r HolderRPC) Owed(_ OwedArgs, reply *OwedReply) error {
-	owed, ok := askFor(r.h.ctx, &r.h.actor, func() time.Duration { return membership.Outstanding(r.h.moratoriumRequested, time.Now()) })
+	owed, ok := askFor(r.h.ctx, &r.h.actor, func() time.Duration { return membership.RemainingMoratorium(r.h.moratoriumRequested, time.Now()) })
 	if !ok {
 		return errNotNow
 	}
@@ -157,9 +157,9 @@
 	if h.served != nil {
 		grantor.Unserved = now.Sub(h.served())
 	}
-	reply := PromiseReply{Given: grantor.Grants(), AgeMs: now.Sub(h.started).Milliseconds()}
+	reply := PromiseReply{Given: grantor.MayGrant(), AgeMs: now.Sub(h.started).Milliseconds()}
 	if reply.Given {
-		more := min(max(membership.BriefMoratoriumFor, time.Duration(a.ForMs)*time.Millisecond), membership.MoratoriumFor)
+		more := min(max(membership.LegacyMoratoriumDuration, time.Duration(a.ForMs)*time.Millisecond), membership.MoratoriumDuration)
 		h.granted[a.Caller] = h.granted[a.Caller].Extend(now, more)
 	}
 	// The request was under way for no longer than its caller waits.
@@ -201,7 +201,7 @@
 // sure, or is not, and for their cancellations also while the watermark lies back.
 func (h *Holder) requestMoratorium(now time.Time) {
 	behind := now.Sub(h.watermark.Time())
-	ending := h.session.Left() <= min(membership.RequestFrom, h.cfg.SessionTTL()/3)
+	ending := h.session.Left() <= min(membership.RequestThreshold, h.cfg.SessionTTL()/3)
 	if !ending && behind < h.cfg.RenewFor()/3 || !h.mayRequest(now) {
 		return
 	}
@@ -224,22 +224,22 @@
 
 // mayRequest tells whether moratoria may be requested now, whatever for.
 func (h *Holder) mayRequest(now time.Time) bool {
-	return !h.requestingMoratorium && len(h.moratoriumPeers) > 0 && now.Sub(h.moratoriumRequested) >= membership.RequestEvery &&
-		!h.watermark.ByRecords.IsZero() && h.entitled()
+	return !h.requestingMoratorium && len(h.moratoriumPeers) > 0 && now.Sub(h.moratoriumRequested) >= membership.RequestInterval &&
+		!h.watermark.RecordsThrough.IsZero() && h.entitled()
 }
 
 // moratoriumSupport tells whether the versions of all siblings know moratoria, and how long one
 // lasts that all of them grant. A sibling that is not there may come back as it was before an
 // upgrade, and would not wait.
 func (h *Holder) moratoriumSupport() (supported bool, lasts time.Duration) {
-	supported, lasts = true, membership.MoratoriumFor
+	supported, lasts = true, membership.MoratoriumDuration
 	for _, sibling := range h.cfg.Siblings {
 		member := h.members[sibling.Name]
 		if member == nil || member.Generation < bookkeeping.GenerationPromises {
 			supported = false
 		}
 		if member == nil || member.Generation < bookkeeping.GenerationLonger {
-			lasts = membership.BriefMoratoriumFor
+			lasts = membership.LegacyMoratoriumDuration
 		}
 	}
 	return supported, lasts
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -81,7 +81,7 @@
 		over := *h.jobs["wk-1"]
 		over.Record, over.State = protocol.Cancelled, protocol.Cancelled
 		h.jobChanged(&over)
-		h.observeReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumFor)
+		h.observeReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumDuration)
 		status, body := h.Report(running(6, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
 		got := stopped(body)
 		slices.Sort(got)
@@ -152,7 +152,7 @@
 		}
 		// It was away for long, so that another may have begun and ended meanwhile.
 		says.reply = PromiseReply{}
-		live(membership.MoratoriumFor + 3*time.Second)
+		live(membership.MoratoriumDuration + 3*time.Second)
 		lasts(time.Hour) // as if its session were renewed, and nothing else served
 		says.reply = PromiseReply{Given: true, AgeMs: 100, Whole: true}
 		if live(c.RenewFor()); h.mayAnswer() {
@@ -188,7 +188,7 @@
 			t.Fatal(err)
 		}
 	}
-	if args.Caller != "c1" || args.Term != 7 || !reply.Given || reply.report(membership.BriefMoratoriumFor).Complete || !older.Given {
+	if args.Caller != "c1" || args.Term != 7 || !reply.Given || reply.report(membership.LegacyMoratoriumDuration).Complete || !older.Given {
 		t.Errorf("%+v %+v %+v", args, reply, older)
 	}
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
@@ -244,7 +244,7 @@
 			}
 		}
 		// What it was asked for itself it owes as well, once it was.
-		if h.moratoriumRequested = time.Now(); membership.Outstanding(h.moratoriumRequested, time.Now()) < membership.MoratoriumFor {
+		if h.moratoriumRequested = time.Now(); membership.RemainingMoratorium(h.moratoriumRequested, time.Now()) < membership.MoratoriumDuration {
 			t.Error("nothing is owed to one that has just asked")
 		}
 	})
--- a/internal/membership/announce.go
+++ b/internal/membership/announce.go
@@ -6,76 +6,77 @@
 	"time"
 )
 
-// Announcements are the cancellations that users are about to be told of, and which siblings have
-// not acknowledged them yet. A sibling that acknowledged one stops the job's tasks and renews none
-// of them any more, so that they live for a lease at most from then. The zero value is empty.
+// Announcements tracks the cancellations that are announced to siblings before users are told of them,
+// and which siblings have not acknowledged each one. A sibling that acknowledged a cancellation stops
+// the job's tasks and renews none of them, so they live for at most one lease from then. The zero value
+// is empty.
 //
-// Nothing depends on an acknowledgement alone: a sibling that can't be reached may not hold up
-// users for long (MayTell), and its own bound (MayRenew) holds whatever was announced.
+// Safety does not depend on acknowledgements: an unreachable sibling delays users for a bounded time
+// (AnnouncementDone), and its own limit on renewals (MayRenew) holds whether or not it was told.
 type Announcements struct {
-	missing map[string]map[string]bool // siblings by job
+	unacknowledged map[string]map[string]bool // siblings by job
 }
 
-// mostAnnounced bounds how many jobs are named to a sibling at a time.
-const mostAnnounced = 1024
+// maxJobsPerAnnouncement bounds how many jobs one request to a sibling names.
+const maxJobsPerAnnouncement = 1024
 
-// Begin has a job announced to siblings; it tells whether that is new.
+// Begin starts the announcement of a job to siblings; it reports whether the announcement is new.
 func (a *Announcements) Begin(job string, siblings []string) bool {
-	if a.missing[job] != nil {
+	if a.unacknowledged[job] != nil {
 		return false
 	}
-	if a.missing == nil {
-		a.missing = map[string]map[string]bool{}
+	if a.unacknowledged == nil {
+		a.unacknowledged = map[string]map[string]bool{}
 	}
-	a.missing[job] = make(map[string]bool, len(siblings))
+	a.unacknowledged[job] = make(map[string]bool, len(siblings))
 	for _, name := range siblings {
-		a.missing[job][name] = true
+		a.unacknowledged[job][name] = true
 	}
 	return true
 }
 
-// Due are the jobs that a sibling has not acknowledged, in order, as many as are named at a time.
+// Due returns the sorted jobs that a sibling has not acknowledged, at most as many as one request names.
 func (a *Announcements) Due(sibling string) []string {
 	var jobs []string
-	for job, missing := range a.missing {
-		if missing[sibling] {
+	for job, siblings := range a.unacknowledged {
+		if siblings[sibling] {
 			jobs = append(jobs, job)
 		}
 	}
 	slices.Sort(jobs)
-	return jobs[:min(len(jobs), mostAnnounced)]
+	return jobs[:min(len(jobs), maxJobsPerAnnouncement)]
 }
 
-// Acknowledge takes in that a sibling knows of jobs.
+// Acknowledge records that a sibling acknowledged jobs.
 func (a *Announcements) Acknowledge(sibling string, jobs []string) {
 	for _, job := range jobs {
-		delete(a.missing[job], sibling)
+		delete(a.unacknowledged[job], sibling)
 	}
 }
 
-// Complete tells whether a job was announced to all siblings that may still act; those whose
-// sessions ended may not.
-func (a *Announcements) Complete(job string, mayAct func(sibling string) bool) bool {
-	missing, begun := a.missing[job]
+// Complete reports whether every sibling whose acknowledgement is required has acknowledged a job. A
+// sibling whose session ended is not required.
+func (a *Announcements) Complete(job string, required func(sibling string) bool) bool {
+	siblings, begun := a.unacknowledged[job]
 	if !begun {
 		return false
 	}
-	for name := range missing {
-		if mayAct(name) {
+	for name := range siblings {
+		if required(name) {
 			return false
 		}
 	}
 	return true
 }
 
-// Forget drops the jobs that need not be announced any more.
+// Forget drops the jobs whose announcement is no longer needed.
 func (a *Announcements) Forget(done func(job string) bool) {
-	maps.DeleteFunc(a.missing, func(job string, _ map[string]bool) bool { return done(job) })
+	maps.DeleteFunc(a.unacknowledged, func(job string, _ map[string]bool) bool { return done(job) })
 }
 
-// MayTell tells whether users may be told of a cancellation that this process came to know at a
-// time, as far as siblings are concerned: all that may act have acknowledged it, or they were waited
-// for long enough.
-func MayTell(knownSince time.Time, complete bool, waitFor time.Duration, now time.Time) bool {
-	return complete || now.Sub(knownSince) >= waitFor
+// AnnouncementDone reports whether siblings no longer prevent this process from telling users of a
+// cancellation that it has known since knownSince: all required siblings acknowledged it, or ackTimeout
+// has passed.
+func AnnouncementDone(knownSince time.Time, complete bool, ackTimeout time.Duration, now time.Time) bool {
+	return complete || now.Sub(knownSince) >= ackTimeout
 }
--- a/internal/membership/announce_test.go
+++ b/internal/membership/announce_test.go
@@ -44,13 +44,13 @@
 // However many jobs are cancelled at once, so many are named in a request, and all in the end.
 func TestAnnouncementsAreNamedInParts(t *testing.T) {
 	var a Announcements
-	const jobs = 2*mostAnnounced + 5
+	const jobs = 2*maxJobsPerAnnouncement + 5
 	for k := range jobs {
 		a.Begin(fmt.Sprintf("wk-%d", k), []string{"a"})
 	}
 	rounds := 0
 	for due := a.Due("a"); len(due) > 0; due = a.Due("a") {
-		if rounds++; len(due) > mostAnnounced || rounds > 3 {
+		if rounds++; len(due) > maxJobsPerAnnouncement || rounds > 3 {
 			t.Fatalf("%d jobs in request %d", len(due), rounds)
 		}
 		a.Acknowledge("a", due)
@@ -67,7 +67,7 @@
 		complete bool
 		may      bool
 	}{{0, true, true}, {0, false, false}, {9 * time.Second, false, false}, {10 * time.Second, false, true}} {
-		if may := MayTell(noon.Add(-c.since), c.complete, 10*time.Second, noon); may != c.may {
+		if may := AnnouncementDone(noon.Add(-c.since), c.complete, 10*time.Second, noon); may != c.may {
 			t.Errorf("%+v: %v", c, may)
 		}
 	}
--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Grant is what a controller has granted to a sibling: a moratorium until a time, and when it
-// reported its cancellations to that sibling. While it grants again and again ReportedAt stays
-// the first time: a later report may not have arrived.
+// Grant is the moratorium that a controller granted to a sibling: when it expires, and when the
+// controller reported its cancellations to that sibling. While the grant is extended, ReportedAt stays
+// the time of the first report, because a later report may not have arrived.
 type Grant struct{ Until, ReportedAt time.Time }
 
-// Extend is the grant once the sibling is granted so much more at a time.
-func (g Grant) Extend(now time.Time, more time.Duration) Grant {
+// Extend returns the grant after another moratorium of the given duration is granted.
+func (g Grant) Extend(now time.Time, duration time.Duration) Grant {
 	if !now.Before(g.Until) {
 		g.ReportedAt = now
 	}
-	return Grant{Until: later(g.Until, now.Add(more)), ReportedAt: g.ReportedAt}
+	return Grant{Until: later(g.Until, now.Add(duration)), ReportedAt: g.ReportedAt}
 }
 
-// MayConfirm tells whether a process may confirm to users a cancellation that it has known since
-// a time. While a grant lasts its sibling renews leases by the last report, so that nothing
-// learnt after it may be confirmed; nor may anything before boundUntil, the end of what the
-// process before this one may have granted.
+// MayConfirm reports whether a process may confirm to users a cancellation that it has known since
+// knownSince. While a grant lasts, the sibling renews leases on the basis of the last report, so no
+// cancellation learned after that report may be confirmed. No cancellation at all may be confirmed
+// before boundUntil, when the last grant that the predecessor process may have given expires.
 func MayConfirm(knownSince, boundUntil time.Time, grants map[string]Grant, now time.Time) bool {
 	if now.Before(boundUntil) {
 		return false
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -70,12 +70,12 @@
 		t.lease = session
 	}
 	down(&t.until)
-	up(&t.asked, steps(MoratoriumFor)+1)
+	up(&t.asked, steps(MoratoriumDuration)+1)
 	for k := range 3 {
 		down(&t.moratorium[k])
 		if !m.down[k] {
 			up(&t.age[k], steps(RecoveryPeriod)+1)
-			if up(&t.since[k], steps(GrantAfterUnserved)+1); m.served[k] {
+			if up(&t.since[k], steps(MinUnservedToGrant)+1); m.served[k] {
 				t.since[k] = 0
 			}
 		}
@@ -96,7 +96,7 @@
 		add(n)
 	}
 	// H asks for moratoria.
-	if m.until > 0 && time.Duration(m.until)*step <= RequestFrom {
+	if m.until > 0 && time.Duration(m.until)*step <= RequestThreshold {
 		n, given := m, 0
 		n.asked = 0
 		for k := 1; k < 3; k++ {
@@ -104,29 +104,29 @@
 			if bad.givesDead {
 				g.RequesterAlive = true
 			}
-			if !m.down[k] && g.Grants() {
+			if !m.down[k] && g.MayGrant() {
 				given++
 				if !bad.forgetsGrant {
-					n.moratorium[k] = steps(MoratoriumFor)
+					n.moratorium[k] = steps(MoratoriumDuration)
 				}
 			}
 		}
 		now := time.Unix(1000, 0)
 		until := now.Add(time.Duration(m.until) * step)
-		until = ExtendEntitlement(until, now, given == 2 || bad.oneIsEnough && given > 0, MoratoriumFor-step, now)
+		until = ExtendEntitlement(until, now, given == 2 || bad.oneIsEnough && given > 0, MoratoriumDuration-step, now)
 		n.until = steps(until.Sub(now))
 		add(n)
 	}
 	if bad.regains && m.until == 0 && m.holder == 0 {
 		ok := true
 		for k := 1; k < 3; k++ {
-			ok = ok && !m.down[k] && (Grantor{Unserved: time.Duration(m.since[k]) * step, RecordsLoaded: m.loaded[k], RequesterAlive: m.sees[k]}).Grants()
+			ok = ok && !m.down[k] && (Grantor{Unserved: time.Duration(m.since[k]) * step, RecordsLoaded: m.loaded[k], RequesterAlive: m.sees[k]}).MayGrant()
 		}
 		if ok {
 			n := m
-			n.until = steps(MoratoriumFor) - 1
+			n.until = steps(MoratoriumDuration) - 1
 			for k := 1; k < 3; k++ {
-				n.moratorium[k] = steps(MoratoriumFor)
+				n.moratorium[k] = steps(MoratoriumDuration)
 			}
 			add(n)
 		}
@@ -160,7 +160,7 @@
 			add(n)
 		}
 		// H tells a young one what was granted to it, or that nothing was.
-		if owed := Outstanding(now.Add(-time.Duration(m.asked)*step), now); !m.down[k] && int(m.age[k]) < int(steps(RecoveryPeriod)) && (owed == 0 || bad.nothingOutstanding) {
+		if owed := RemainingMoratorium(now.Add(-time.Duration(m.asked)*step), now); !m.down[k] && int(m.age[k]) < int(steps(RecoveryPeriod)) && (owed == 0 || bad.nothingOutstanding) {
 			n := m
 			n.age[k] = steps(RecoveryPeriod) + 1
 			add(n)
@@ -168,7 +168,7 @@
 		// It ends and is started again; what it had asked for is still on its way.
 		n := m
 		if n.down[k] = !m.down[k]; n.down[k] {
-			n.loaded[k], n.sees[k], n.moratorium[k], n.age[k], n.since[k] = false, false, 0, 0, steps(GrantAfterUnserved)
+			n.loaded[k], n.sees[k], n.moratorium[k], n.age[k], n.since[k] = false, false, 0, 0, steps(MinUnservedToGrant)
 		}
 		add(n)
 	}
@@ -177,7 +177,7 @@
 
 // start is where all is well.
 var start = model{lease: session, until: surely, served: [3]bool{true, true, true}, sees: [3]bool{true, true, true}, loaded: [3]bool{true, true, true},
-	age: [3]int8{steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1}, asked: steps(MoratoriumFor) + 1}
+	age: [3]int8{steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1}, asked: steps(MoratoriumDuration) + 1}
 
 // away is amid an outage, in which H renewed last 3 s ago.
 var away = model{lease: session, until: 2, sees: [3]bool{true, true, true}, loaded: [3]bool{true, true, true}, since: [3]int8{6, 6, 6},
--- a/internal/membership/watermark.go
+++ b/internal/membership/watermark.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// Which cancellations a holder surely knows of, and so for how long it may renew the leases of
-// what runs (invariant 9, docs/design-recovery.md).
+// This file decides which cancellations a holder is certain to know of, and therefore how long it may
+// renew the leases of running tasks (invariant 9, docs/design-recovery.md).
 //
-// An answer to a report has all that runs there live for another lease, and whatever is said
-// later may not reach the machine. So an answer is given only if nothing that it renews can
-// outlive a cancellation that some controller confirmed to a user. What the holder knows to be
-// cancelled, the answer itself stops. Of the rest it knows that it was confirmed after its
-// watermark: a time, by the holder's own clock, up to which it knows every cancellation that
-// anyone confirmed. That its session was renewed is no proof of one, since what it reads may
-// lag. Proofs are records that are as new as a read which began then, and, while nothing is
-// served, the reports of all siblings.
+// The answer to a report lets all tasks of that machine live for another lease, and a later message may
+// not reach the machine. A holder therefore answers only if nothing that the answer renews can outlive a
+// cancellation that some controller confirmed to a user. The answer itself stops the tasks of jobs that
+// the holder knows to be cancelled. Any other confirmed cancellation was confirmed after the holder's
+// watermark: the time, by the holder's own clock, up to which it knows every cancellation that any
+// controller confirmed. A renewed session does not advance the watermark, because the records that the
+// holder reads may lag. The watermark advances by records that are as new as a read which began at a
+// known time and, while the state service is unavailable, by the reports of all siblings.
 
-// CancellationReport is what a controller tells about the cancellations that it knows.
+// CancellationReport is a controller's report on the cancellations that it knows.
 type CancellationReport struct {
-	// ProcessAge is for how long its process has lived at least. RecordsAge is how long ago at
-	// most the read began that its records are as new as; 0: it has read none.
+	// ProcessAge is the minimum age of the reporting process. RecordsAge is the maximum age of its
+	// records, counted from the start of the read that they are as new as; 0 if it has read none.
 	ProcessAge, RecordsAge time.Duration
-	// Complete: it named all that it came to know since the time asked for.
+	// Complete reports that the report names every cancellation learned since the requested time.
 	Complete bool
-	// SilentFor is for how long from when it was asked it confirms none beyond these.
+	// SilentFor is how long after the request the controller confirms no cancellation beyond those named.
 	SilentFor time.Duration
 }
 
-// PeerKnowledge is what a holder knows of a sibling: all that any process of its knew up to
-// KnownThrough, and that none confirms anything more up to SilentUntil.
+// PeerKnowledge is what a holder knows about a sibling. The holder knows every cancellation that any
+// process of the sibling knew up to KnownThrough, and no such process confirms another one before
+// SilentUntil.
 type PeerKnowledge struct{ KnownThrough, SilentUntil time.Time }
 
-// Watermark is how far a holder's knowledge of cancellations reaches: ByRecords is by records,
-// its own or those of a sibling that told what is in them. All siblings stand in BySibling, also
-// those that never reported.
+// Watermark is the extent of a holder's knowledge of cancellations. RecordsThrough is the extent known
+// from records, either its own or those of a sibling that reported their contents. BySibling contains
+// every sibling, including those that never reported.
 type Watermark struct {
-	ByRecords time.Time
-	BySibling map[string]PeerKnowledge
+	RecordsThrough time.Time
+	BySibling      map[string]PeerKnowledge
 }
 
-// NewWatermark is that of a holder which knows nothing yet and has these siblings.
+// NewWatermark returns the watermark of a holder that has the given siblings and knows nothing yet.
 func NewWatermark(siblings []string) Watermark {
 	w := Watermark{BySibling: make(map[string]PeerKnowledge, len(siblings))}
 	for _, name := range siblings {
@@ -49,48 +50,51 @@
 	return w
 }
 
-// ObserveRecords takes in that the records at hand are as new as a read that began then.
-func (w *Watermark) ObserveRecords(began time.Time) { w.ByRecords = later(w.ByRecords, began) }
+// ObserveRecords records that the holder's records are as new as a read that began at the given time.
+func (w *Watermark) ObserveRecords(began time.Time) {
+	w.RecordsThrough = later(w.RecordsThrough, began)
+}
 
-// Time is the watermark itself: by records, or by the reports of all siblings.
+// Time returns the watermark: the later of that by records and that by the reports of all siblings.
 func (w *Watermark) Time() time.Time {
 	through := make([]time.Time, 0, len(w.BySibling))
 	for _, peer := range w.BySibling {
 		through = append(through, peer.KnownThrough)
 	}
 	if len(through) == 0 {
-		return w.ByRecords
+		return w.RecordsThrough
 	}
-	return later(w.ByRecords, slices.MinFunc(through, time.Time.Compare))
+	return later(w.RecordsThrough, slices.MinFunc(through, time.Time.Compare))
 }
 
-// ObserveReport takes in a sibling's report, whose cancellations are known by now: it was asked
-// at a time for what it knows since the watermark of then, and the reply came at another.
+// ObserveReport applies a sibling's report. The holder requested the cancellations since its watermark
+// at askedAt, received the reply at receivedAt, and has already learned the cancellations in it.
 //
-// A process speaks for the one before it only where that one surely knew nothing that it had
-// not told: it has ended by the time at which this one began, at the latest received less its
-// age. If that is after all that was told and granted, a cancellation may have been confirmed
-// that no living process knows of; only records tell then.
-func (w *Watermark) ObserveReport(name string, r CancellationReport, asked, received time.Time) {
+// The report of a process also covers the predecessor process only if the predecessor knew no
+// cancellation beyond those it reported. The predecessor had ended when this process began, which was at
+// the latest receivedAt minus the process age. If that is after everything that the sibling reported and
+// granted, the predecessor may have confirmed a cancellation that no living process knows of; then only
+// records advance the watermark.
+func (w *Watermark) ObserveReport(name string, r CancellationReport, askedAt, receivedAt time.Time) {
 	if !r.Complete {
 		return
 	}
 	peer := w.BySibling[name]
 	if r.RecordsAge > 0 {
-		w.ObserveRecords(asked.Add(-longer(r.RecordsAge)))
+		w.ObserveRecords(askedAt.Add(-upperBound(r.RecordsAge)))
 	}
-	began := received.Add(-shorter(r.ProcessAge))
-	vouchedFor := later(peer.KnownThrough, later(peer.SilentUntil, w.ByRecords))
-	if !began.After(vouchedFor) {
-		peer.KnownThrough = later(peer.KnownThrough, asked)
-		peer.SilentUntil = later(peer.SilentUntil, asked.Add(shorter(r.SilentFor)))
+	began := receivedAt.Add(-lowerBound(r.ProcessAge))
+	coveredUntil := later(peer.KnownThrough, later(peer.SilentUntil, w.RecordsThrough))
+	if !began.After(coveredUntil) {
+		peer.KnownThrough = later(peer.KnownThrough, askedAt)
+		peer.SilentUntil = later(peer.SilentUntil, askedAt.Add(lowerBound(r.SilentFor)))
 	}
 	w.BySibling[name] = peer
 }
 
-// MayRenew tells whether a report may be answered: what the answer renews is gone, at the
-// latest, within cancel of anything that was confirmed after the watermark. renewFor is how much
-// longer a cancellation may take than a lease lasts, by whatever clock.
-func MayRenew(watermark time.Time, renewFor time.Duration, now time.Time) bool {
-	return now.Sub(watermark) <= renewFor
+// MayRenew reports whether a machine's report may be answered: every task that the answer renews ends
+// within the cancellation deadline of any cancellation confirmed after the watermark. maxLag is the
+// cancellation deadline minus the lease, allowing for clock drift.
+func MayRenew(watermark time.Time, maxLag time.Duration, now time.Time) bool {
+	return now.Sub(watermark) <= maxLag
 }
--- a/internal/membership/watermark_test.go
+++ b/internal/membership/watermark_test.go
@@ -76,7 +76,7 @@
 func ago(age int8) time.Time { return noon.Add(-time.Duration(age) * tick) }
 
 func (w *world) watermark(n int) (h Watermark) {
-	h = Watermark{ByRecords: ago(w.records), BySibling: map[string]PeerKnowledge{}}
+	h = Watermark{RecordsThrough: ago(w.records), BySibling: map[string]PeerKnowledge{}}
 	for k := range n {
 		h.BySibling[fmt.Sprint(k)] = PeerKnowledge{KnownThrough: ago(w.s[k].told), SilentUntil: ago(w.s[k].quiet)}
 	}
@@ -182,7 +182,7 @@
 		add(func(c *world) {
 			h := c.watermark(n)
 			h.ObserveRecords(ago(c.reading))
-			c.records, c.knows = age(h.ByRecords), c.knows || c.read
+			c.records, c.knows = age(h.RecordsThrough), c.knows || c.read
 			c.reading, c.read = never, false
 		})
 		add(func(c *world) { c.reading, c.read = never, false })
@@ -196,7 +196,7 @@
 				s.down = false
 				return
 			}
-			s.down, s.age, s.synced, s.known, s.until, s.named, s.unserved = true, 0, never, never, 0, 0, int8(GrantAfterUnserved/tick)
+			s.down, s.age, s.synced, s.known, s.until, s.named, s.unserved = true, 0, never, never, 0, 0, int8(MinUnservedToGrant/tick)
 			s.acknowledged = false
 			s.bound = int8(RecoveryPeriod / tick)
 			if !s.q.answered {
@@ -208,7 +208,7 @@
 		}
 		if s.bound > 0 { // the holder tells it what was granted
 			add(func(c *world) {
-				owed := Outstanding(ago(s.asked), noon)
+				owed := RemainingMoratorium(ago(s.asked), noon)
 				if bad.nothingOutstanding {
 					owed = 0
 				}
@@ -233,7 +233,7 @@
 				add(func(c *world) { c.s[k].acknowledged = true }) // another sibling's report is taken for the holder's
 			}
 		}
-		if s.known != never && w.confirmed == never && (bad.tellsAtOnce || MayTell(ago(s.known), s.acknowledged, time.Duration(bad.waitFor())*tick, noon)) {
+		if s.known != never && w.confirmed == never && (bad.tellsAtOnce || AnnouncementDone(ago(s.known), s.acknowledged, time.Duration(bad.waitFor())*tick, noon)) {
 			bound := ago(-s.bound)
 			if bad.confirmsYoung {
 				bound = noon
@@ -251,10 +251,10 @@
 			add(func(c *world) {
 				s := &c.s[k]
 				s.q.answered, s.q.age, s.q.synced = true, s.age, s.synced
-				s.q.given = Grantor{Unserved: time.Duration(s.unserved) * tick, RecordsLoaded: s.synced != never, RequesterAlive: true}.Grants()
+				s.q.given = Grantor{Unserved: time.Duration(s.unserved) * tick, RecordsLoaded: s.synced != never, RequesterAlive: true}.MayGrant()
 				s.q.names = s.known != never && time.Duration(s.known-s.q.since)*tick <= RequestTimeout && !bad.forgetsToName
 				if s.q.given {
-					g := s.giving()["h"].Extend(noon, MoratoriumFor)
+					g := s.giving()["h"].Extend(noon, MoratoriumDuration)
 					s.until, s.named = int8(g.Until.Sub(noon)/tick), age(g.ReportedAt)
 				}
 			})
@@ -268,7 +268,7 @@
 				}
 				report := CancellationReport{ProcessAge: time.Duration(s.q.age) * tick, Complete: true}
 				if s.q.given {
-					report.SilentFor = MoratoriumFor
+					report.SilentFor = MoratoriumDuration
 				}
 				if s.q.synced != never {
 					report.RecordsAge = time.Duration(s.q.synced)*tick + time.Millisecond
@@ -278,7 +278,7 @@
 				}
 				h.ObserveReport(fmt.Sprint(k), report, asked, noon)
 				heard := h.BySibling[fmt.Sprint(k)]
-				c.records, s.told, s.quiet = age(h.ByRecords), age(heard.KnownThrough), age(heard.SilentUntil)
+				c.records, s.told, s.quiet = age(h.RecordsThrough), age(heard.KnownThrough), age(heard.SilentUntil)
 				s.q = question{asked: never}
 			})
 			add(func(c *world) { c.s[k].q = question{asked: never} }) // lost
@@ -420,10 +420,10 @@
 // is said.
 func TestCancellationsAreNamedWhole(t *testing.T) {
 	var c Cancellations
-	for k := range mostCancellations {
+	for k := range maxCancellations {
 		c.Learn(fmt.Sprintf("wk-%d", k), noon.Add(time.Duration(k)*time.Millisecond))
 	}
-	last := noon.Add((mostCancellations - 1) * time.Millisecond)
+	last := noon.Add((maxCancellations - 1) * time.Millisecond)
 	if jobs, whole := c.Since(last.Add(-time.Millisecond)); !whole || !slices.Equal(jobs, []string{"wk-8191", "wk-8190"}) {
 		t.Errorf("%v %v", jobs, whole)
 	}
@@ -431,7 +431,7 @@
 		t.Error("learnt twice")
 	}
 	c.Learn("wk-9000", last.Add(time.Second))
-	if jobs, whole := c.Since(noon); whole || len(jobs) != mostCancellations || c.Has("wk-0") || !c.Has("wk-9000") {
+	if jobs, whole := c.Since(noon); whole || len(jobs) != maxCancellations || c.Has("wk-0") || !c.Has("wk-9000") {
 		t.Errorf("%d jobs, whole %v", len(jobs), whole)
 	}
 }
