--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -6,82 +6,82 @@
 	"time"
 )
 
-// An explicit-state model of one slot, its holder H and two siblings that may take it, over a
-// state service that is away, that refuses one of them alone, and that carries requests out
-// late. A step is half a second; the daemon's own decisions are called. Every state that can be
-// reached within the depth is visited; in none may two be entitled to the slot's workers.
+// An explicit-state model of one slot, its holder H and two siblings that may take the slot over. The
+// state service may be unavailable to all controllers or to one of them, and may carry out requests
+// late. A step is half a second. The model calls the decisions of this package. It visits the reachable
+// states up to a limit; in none of them may two controllers be entitled to the slot's workers.
 
 const (
-	step    = 500 * time.Millisecond
-	session = 5 // steps for which a lease in the state service lives
-	surely  = 4 // steps of it that surely live by the holder's clock
+	step       = 500 * time.Millisecond
+	session    = 5 // steps that a lease in the state service lasts
+	guaranteed = 4 // steps of that lease that are certain by the holder's clock
 )
 
-// model is one state. Times count down in steps, and are bounded, so that there are finitely many.
-type model struct {
-	lease      int8    // of H in the state service; 0: it ended, for good
-	holder     int8    // by the slot's record: 0 is H, 1 and 2 the siblings
-	until      int8    // steps for which H may still act
-	served     [3]bool // by the state service, now
-	since      [3]int8 // steps since each was served
-	sees       [3]bool // by its records H's session lives
-	loaded     [3]bool
-	moratorium [3]int8 // steps for which each has granted
-	age        [3]int8
-	claim      [3]bool // a request to take the slot is under way, and may be carried out late
-	down       [3]bool
-	asked      int8 // steps since H last asked for moratoria
+// slotModel is one state. Times are counted in steps and bounded, which keeps the number of states finite.
+type slotModel struct {
+	lease         int8    // of H's session in the state service; 0: it ended and cannot be renewed
+	holder        int8    // according to the slot's record: 0 is H, 1 and 2 are the siblings
+	entitledFor   int8    // steps for which H may still act
+	served        [3]bool // whether the state service serves each controller now
+	unservedFor   [3]int8 // steps since each controller was served
+	seesSession   [3]bool // whether each controller's records contain H's session
+	recordsLoaded [3]bool
+	moratorium    [3]int8 // remaining steps of each controller's grant
+	processAge    [3]int8
+	claim         [3]bool // a takeover request is in flight and may be carried out late
+	down          [3]bool
+	sinceRequest  int8 // steps since H last requested moratoria
 }
 
-// seeded are mistakes put in: the model has to see each.
-type seeded struct{ givesDead, regains, forgetsGrant, takesYoung, oneIsEnough, nothingOutstanding bool }
+// injectedFaults are deliberate faults in the decisions; the model must detect each.
+type injectedFaults struct{ grantsAfterSessionEnd, regainsLapsed, forgetsGrant, takesOverInRecovery, oneGrantSuffices, reportsNothingOutstanding bool }
 
 func steps(d time.Duration) int8 { return int8(d / step) }
 
-func (m model) entitled() (n int) {
-	if m.until > 0 {
+func (m slotModel) entitled() (n int) {
+	if m.entitledFor > 0 {
 		n++
 	}
 	if m.holder != 0 {
-		n++ // a taker acts from the moment that the record says so
+		n++ // a controller that took over acts as soon as the record names it
 	}
 	return n
 }
 
-// next are the states that may follow: time passes by a step, and any of the rest may happen.
-func (m model) next(bad seeded) (all []model) {
-	add := func(n model) { all = append(all, n) }
-	// Time.
+// next returns the possible successor states: a step of time passes, or one event occurs.
+func (m slotModel) next(faults injectedFaults) (all []slotModel) {
+	add := func(n slotModel) { all = append(all, n) }
+	// A step of time passes.
 	t := m
-	down := func(v *int8) {
+	decrement := func(v *int8) {
 		if *v > 0 {
 			*v--
 		}
 	}
-	up := func(v *int8, most int8) {
-		if *v < most {
+	increment := func(v *int8, limit int8) {
+		if *v < limit {
 			*v++
 		}
 	}
-	anybody := m.served[0] || m.served[1] || m.served[2]
-	if anybody { // leases stand still while the service is away for all, and get their full time after it
-		down(&t.lease)
+	anyServed := m.served[0] || m.served[1] || m.served[2]
+	if anyServed { // leases do not expire while the service is unavailable to all, and get their full time afterwards
+		decrement(&t.lease)
 	} else if t.lease > 0 {
 		t.lease = session
 	}
-	down(&t.until)
-	up(&t.asked, steps(MoratoriumDuration)+1)
+	decrement(&t.entitledFor)
+	increment(&t.sinceRequest, steps(MoratoriumDuration)+1)
 	for k := range 3 {
-		down(&t.moratorium[k])
+		decrement(&t.moratorium[k])
 		if !m.down[k] {
-			up(&t.age[k], steps(RecoveryPeriod)+1)
-			if up(&t.since[k], steps(MinUnservedToGrant)+1); m.served[k] {
-				t.since[k] = 0
+			increment(&t.processAge[k], steps(RecoveryPeriod)+1)
+			if increment(&t.unservedFor[k], steps(MinUnservedToGrant)+1); m.served[k] {
+				t.unservedFor[k] = 0
 			}
 		}
 	}
 	add(t)
-	// The state service serves all, none, or all but one.
+	// The state service serves all controllers, none, or all but one.
 	for _, s := range [][3]bool{{true, true, true}, {}, {false, true, true}, {true, false, true}} {
 		if s != m.served {
 			n := m
@@ -92,39 +92,39 @@
 	// H renews its session.
 	if m.served[0] && m.lease > 0 {
 		n := m
-		n.lease, n.until, n.since[0] = session, surely, 0
+		n.lease, n.entitledFor, n.unservedFor[0] = session, guaranteed, 0
 		add(n)
 	}
-	// H asks for moratoria.
-	if m.until > 0 && time.Duration(m.until)*step <= RequestThreshold {
-		n, given := m, 0
-		n.asked = 0
+	// H requests moratoria.
+	if m.entitledFor > 0 && time.Duration(m.entitledFor)*step <= RequestThreshold {
+		n, granted := m, 0
+		n.sinceRequest = 0
 		for k := 1; k < 3; k++ {
-			g := Grantor{Unserved: time.Duration(m.since[k]) * step, RecordsLoaded: m.loaded[k], RequesterAlive: m.sees[k]}
-			if bad.givesDead {
+			g := Grantor{Unserved: time.Duration(m.unservedFor[k]) * step, RecordsLoaded: m.recordsLoaded[k], RequesterAlive: m.seesSession[k]}
+			if faults.grantsAfterSessionEnd {
 				g.RequesterAlive = true
 			}
 			if !m.down[k] && g.MayGrant() {
-				given++
-				if !bad.forgetsGrant {
+				granted++
+				if !faults.forgetsGrant {
 					n.moratorium[k] = steps(MoratoriumDuration)
 				}
 			}
 		}
 		now := time.Unix(1000, 0)
-		until := now.Add(time.Duration(m.until) * step)
-		until = ExtendEntitlement(until, now, given == 2 || bad.oneIsEnough && given > 0, MoratoriumDuration-step, now)
-		n.until = steps(until.Sub(now))
+		until := now.Add(time.Duration(m.entitledFor) * step)
+		until = ExtendEntitlement(until, now, granted == 2 || faults.oneGrantSuffices && granted > 0, MoratoriumDuration-step, now)
+		n.entitledFor = steps(until.Sub(now))
 		add(n)
 	}
-	if bad.regains && m.until == 0 && m.holder == 0 {
+	if faults.regainsLapsed && m.entitledFor == 0 && m.holder == 0 {
 		ok := true
 		for k := 1; k < 3; k++ {
-			ok = ok && !m.down[k] && (Grantor{Unserved: time.Duration(m.since[k]) * step, RecordsLoaded: m.loaded[k], RequesterAlive: m.sees[k]}).MayGrant()
+			ok = ok && !m.down[k] && (Grantor{Unserved: time.Duration(m.unservedFor[k]) * step, RecordsLoaded: m.recordsLoaded[k], RequesterAlive: m.seesSession[k]}).MayGrant()
 		}
 		if ok {
 			n := m
-			n.until = steps(MoratoriumDuration) - 1
+			n.entitledFor = steps(MoratoriumDuration) - 1
 			for k := 1; k < 3; k++ {
 				n.moratorium[k] = steps(MoratoriumDuration)
 			}
@@ -135,23 +135,23 @@
 		// A sibling reads the records.
 		if !m.down[k] && m.served[k] {
 			n := m
-			n.loaded[k], n.sees[k], n.since[k] = true, m.lease > 0, 0
+			n.recordsLoaded[k], n.seesSession[k], n.unservedFor[k] = true, m.lease > 0, 0
 			add(n)
 		}
-		// It asks for the slot: only where it saw the session end.
+		// The sibling requests the slot, only after its records showed the end of H's session.
 		now := time.Unix(1000, 0)
-		may := MayTakeOver(now.Add(RecoveryPeriod-time.Duration(m.age[k])*step), now.Add(time.Duration(m.moratorium[k])*step), now)
-		if bad.takesYoung {
-			may = m.moratorium[k] == 0
+		mayTakeOver := MayTakeOver(now.Add(RecoveryPeriod-time.Duration(m.processAge[k])*step), now.Add(time.Duration(m.moratorium[k])*step), now)
+		if faults.takesOverInRecovery {
+			mayTakeOver = m.moratorium[k] == 0
 		}
-		if !m.down[k] && m.loaded[k] && !m.sees[k] && may && !m.claim[k] && m.holder == 0 {
+		if !m.down[k] && m.recordsLoaded[k] && !m.seesSession[k] && mayTakeOver && !m.claim[k] && m.holder == 0 {
 			n := m
 			n.claim[k] = true
 			add(n)
 		}
-		// The request is carried out, at any later time: its condition is that the record is as
-		// it was and the session over.
-		if m.claim[k] && anybody {
+		// The request is carried out at any later time, on condition that the record is unchanged and
+		// H's session has ended.
+		if m.claim[k] && anyServed {
 			n := m
 			n.claim[k] = false
 			if m.holder == 0 && m.lease == 0 {
@@ -159,39 +159,39 @@
 			}
 			add(n)
 		}
-		// H tells a young one what was granted to it, or that nothing was.
-		if owed := RemainingMoratorium(now.Add(-time.Duration(m.asked)*step), now); !m.down[k] && int(m.age[k]) < int(steps(RecoveryPeriod)) && (owed == 0 || bad.nothingOutstanding) {
+		// H reports to a recently started sibling that nothing granted to H is outstanding.
+		if remaining := RemainingMoratorium(now.Add(-time.Duration(m.sinceRequest)*step), now); !m.down[k] && int(m.processAge[k]) < int(steps(RecoveryPeriod)) && (remaining == 0 || faults.reportsNothingOutstanding) {
 			n := m
-			n.age[k] = steps(RecoveryPeriod) + 1
+			n.processAge[k] = steps(RecoveryPeriod) + 1
 			add(n)
 		}
-		// It ends and is started again; what it had asked for is still on its way.
+		// The sibling ends or starts again; a request that it had sent stays in flight.
 		n := m
 		if n.down[k] = !m.down[k]; n.down[k] {
-			n.loaded[k], n.sees[k], n.moratorium[k], n.age[k], n.since[k] = false, false, 0, 0, steps(MinUnservedToGrant)
+			n.recordsLoaded[k], n.seesSession[k], n.moratorium[k], n.processAge[k], n.unservedFor[k] = false, false, 0, 0, steps(MinUnservedToGrant)
 		}
 		add(n)
 	}
 	return all
 }
 
-// start is where all is well.
-var start = model{lease: session, until: surely, served: [3]bool{true, true, true}, sees: [3]bool{true, true, true}, loaded: [3]bool{true, true, true},
-	age: [3]int8{steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1}, asked: steps(MoratoriumDuration) + 1}
+// initialSlot is the state without any failure.
+var initialSlot = slotModel{lease: session, entitledFor: guaranteed, served: [3]bool{true, true, true}, seesSession: [3]bool{true, true, true}, recordsLoaded: [3]bool{true, true, true},
+	processAge: [3]int8{steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1, steps(RecoveryPeriod) + 1}, sinceRequest: steps(MoratoriumDuration) + 1}
 
-// away is amid an outage, in which H renewed last 3 s ago.
-var away = model{lease: session, until: 2, sees: [3]bool{true, true, true}, loaded: [3]bool{true, true, true}, since: [3]int8{6, 6, 6},
-	age: start.age, asked: start.asked}
+// outageSlot is a state during an outage, in which H last renewed its session 3 s ago.
+var outageSlot = slotModel{lease: session, entitledFor: 2, seesSession: [3]bool{true, true, true}, recordsLoaded: [3]bool{true, true, true}, unservedFor: [3]int8{6, 6, 6},
+	processAge: initialSlot.processAge, sinceRequest: initialSlot.sinceRequest}
 
-// explore visits so many states, the nearest first, and gives the first in which two are
-// entitled.
-func explore(start model, bad seeded, most int) (states int, two *model) {
-	seen := map[model]bool{start: true}
-	queue := []model{start}
-	for len(queue) > 0 && len(seen) < most {
+// exploreSlot visits up to maxStates states breadth-first and returns the first in which two controllers
+// are entitled.
+func exploreSlot(start slotModel, faults injectedFaults, maxStates int) (states int, violation *slotModel) {
+	seen := map[slotModel]bool{start: true}
+	queue := []slotModel{start}
+	for len(queue) > 0 && len(seen) < maxStates {
 		m := queue[0]
 		queue = queue[1:]
-		for _, n := range m.next(bad) {
+		for _, n := range m.next(faults) {
 			if seen[n] {
 				continue
 			}
@@ -205,15 +205,15 @@
 	return len(seen), nil
 }
 
-// walk goes at random through so many states of the model, and gives the first in which two are
-// entitled. Most steps let time pass, so that moratoria, leases and youth end.
-func walk(bad seeded, seed uint64, most int) (states int, two *model) {
+// walkSlot visits about maxStates states on random walks and returns the first in which two controllers
+// are entitled. Many steps let time pass, so that moratoria, leases and recovery periods end.
+func walkSlot(faults injectedFaults, seed uint64, maxStates int) (states int, violation *slotModel) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	for states < most {
-		m := start
+	for states < maxStates {
+		m := initialSlot
 		for range 120 {
 			states++
-			next := m.next(bad)
+			next := m.next(faults)
 			m = next[0] // time passes
 			if rng.IntN(3) > 0 {
 				m = next[rng.IntN(len(next))]
@@ -226,28 +226,29 @@
 	return states, nil
 }
 
-// Nobody is entitled beside another, whatever happens; and each mistake that is put in is seen.
-// (That one which is served, or saw the session end, grants nothing is not needed for that, as
-// long as what lapsed is not regained: it is what lets a successor take over. Seen with it.)
-func TestNeverTwoEntitled(t *testing.T) {
-	for _, from := range []model{start, away} {
-		if n, two := explore(from, seeded{}, 150_000); two != nil {
-			t.Fatalf("after %d states two are entitled: %+v", n, *two)
-		}
-	}
-	if n, two := walk(seeded{}, 1, 3_000_000); two != nil {
-		t.Fatalf("on a walk of %d states two are entitled: %+v", n, *two)
-	}
-	for name, bad := range map[string]seeded{"what lapsed is regained": {regains: true}, "the grantor forgets": {forgetsGrant: true}, "a young process takes": {takesYoung: true},
-		"nothing is said to be outstanding": {nothingOutstanding: true}, "one moratorium is enough": {oneIsEnough: true}, "who saw the session end grants, and what lapsed is regained": {givesDead: true, regains: true}, "a young process takes, one moratorium is enough": {takesYoung: true, oneIsEnough: true}} {
-		n, two := explore(away, bad, 150_000)
-		if two == nil {
-			n, two = walk(bad, 2, 3_000_000)
-		}
-		if two == nil {
-			t.Errorf("%s: not seen", name)
+// At most one controller is entitled to a slot's workers in every state, and the model detects each
+// injected fault. A sibling that is served, or saw the session end, refuses a moratorium so that a
+// successor can take over. Safety depends on that refusal only if lapsed entitlement can be regained, so
+// grantsAfterSessionEnd is tested together with regainsLapsed.
+func TestAtMostOneEntitled(t *testing.T) {
+	for _, from := range []slotModel{initialSlot, outageSlot} {
+		if n, violation := exploreSlot(from, injectedFaults{}, 150_000); violation != nil {
+			t.Fatalf("after %d states two controllers are entitled: %+v", n, *violation)
+		}
+	}
+	if n, violation := walkSlot(injectedFaults{}, 1, 3_000_000); violation != nil {
+		t.Fatalf("after a random walk of %d states two controllers are entitled: %+v", n, *violation)
+	}
+	for name, faults := range map[string]injectedFaults{"lapsed entitlement is regained": {regainsLapsed: true}, "the grantor forgets its grant": {forgetsGrant: true}, "a process takes over during its recovery period": {takesOverInRecovery: true},
+		"nothing is reported as outstanding": {reportsNothingOutstanding: true}, "one grant suffices": {oneGrantSuffices: true}, "grants after the session end, lapsed entitlement is regained": {grantsAfterSessionEnd: true, regainsLapsed: true}, "a process takes over during its recovery period, one grant suffices": {takesOverInRecovery: true, oneGrantSuffices: true}} {
+		n, violation := exploreSlot(outageSlot, faults, 150_000)
+		if violation == nil {
+			n, violation = walkSlot(faults, 2, 3_000_000)
+		}
+		if violation == nil {
+			t.Errorf("%s: not detected", name)
 		} else {
-			t.Logf("%s: seen after %d states", name, n)
+			t.Logf("%s: detected after %d states", name, n)
 		}
 	}
 }
--- a/internal/membership/watermark_test.go
+++ b/internal/membership/watermark_test.go
@@ -8,65 +8,69 @@
 	"time"
 )
 
-// An explicit-state model of one holder and its siblings, over a state service that is away,
-// or refuses one of them alone; of processes that end and begin again; of cancellations that are
-// recorded, answered or not, and confirmed; and of questions and answers that are slow, lost
-// or never asked. A step is a second; the daemon's own decisions are called. In no state may a
-// cancellation that was confirmed before the watermark be unknown to the holder, nor may it
-// answer what outlives one: less by as much as its acknowledgement is waited for.
+// An explicit-state model of one holder, its siblings and one cancellation. The state service may be
+// unavailable to all controllers or to one of them; processes end and restart; the cancellation is
+// recorded, with or without a reply, and confirmed; report requests and replies are delayed, lost or
+// never sent. A step is a second. The model calls the decisions of this package. In no state may the
+// holder lack a cancellation that was confirmed before its watermark, or answer a report such that a
+// task outlives its cancellation. Time spent waiting for acknowledgements shortens the allowed time.
 
 const (
-	tick     = time.Second
-	beyond   = 16 // ages are told apart up to here; older states are not followed
-	never    = int8(-1)
-	renewFor = 12 // ticks
-	waitFor  = 5  // ticks for which acknowledgements are waited for, by who waits
+	tick            = time.Second
+	maxAge          = 16 // greatest age that is distinguished; states with greater ages are not explored
+	never           = int8(-1)
+	maxLagTicks     = 12 // ticks
+	ackTimeoutTicks = 5  // ticks that a version which waits for acknowledgements waits for them
 )
 
-type question struct {
-	asked    int8 // how long ago; never: none is under way
-	since    int8
-	answered bool
-	// What the answer says: of the process then.
-	age, synced  int8
-	given, names bool
+// reportRequest is a request of the holder for a sibling's report, and its reply.
+type reportRequest struct {
+	askedAge     int8 // ticks since it was sent; never: none is in flight
+	watermarkAge int8
+	answered     bool
+	// Contents of the reply, as of the time of the reply.
+	processAge, recordsAge     int8
+	granted, namesCancellation bool
 }
 
-type sibling struct {
-	served, down bool
-	unserved     int8 // for how long
-	age          int8 // of its process
-	bound        int8 // for how much longer it is by what the one before granted
-	asked        int8 // how long ago the holder last asked it
-	synced       int8 // how long ago its records were as new as that; never: none read
-	known        int8 // how long ago it came to know of the cancellation; never
-	acknowledged bool // the holder acknowledged the cancellation to it
-	until, named int8 // what it granted: for how much longer, and named how long ago
-	// What the holder knows of it: ages; quiet may lie ahead.
-	told, quiet int8
-	q           question
+// siblingState is a sibling in the model.
+type siblingState struct {
+	served, down           bool
+	unserved               int8 // ticks since the sibling was served
+	processAge             int8 // of the sibling's process
+	boundFor               int8 // remaining ticks for which grants of the predecessor process bind it
+	askedAge               int8 // ticks since the holder last requested its report
+	recordsAge             int8 // age of its records; never: none read
+	knownAge               int8 // ticks since it learned of the cancellation; never: unknown to it
+	acknowledged           bool // the holder acknowledged the cancellation to the sibling
+	grantLeft, reportedAge int8 // its grant: remaining ticks, and ticks since its first report
+	// What the holder knows about the sibling, as ages; a silentUntilAge in the future is negative.
+	knownThroughAge, silentUntilAge int8
+	request                         reportRequest
 }
 
-type world struct {
-	recorded, knows bool // in the state service; by the holder
-	confirmed       int8 // how long ago; never
-	served          bool // the holder is
-	records         int8 // the holder's records are as new as that
-	reading         int8 // it reads since; never
-	read            bool // what it will have read
-	s               [2]sibling
+// watermarkModel is one state of the model.
+type watermarkModel struct {
+	recorded, knows     bool // the cancellation is recorded in the state service; the holder knows it
+	confirmedAge        int8 // ticks since the cancellation was confirmed; never: not confirmed
+	served              bool // the state service serves the holder
+	recordsAge          int8 // age of the holder's records
+	readAge             int8 // ticks since its current read began; never: none is in progress
+	readHasCancellation bool // the read will return the cancellation
+	siblings            [2]siblingState
 }
 
-type mistakes struct {
-	renewalProves, believesYoung, neverQuiet, confirmsYoung, boundDropped, fromTheAnswer, forgetsToName, nothingOutstanding, tellsAtOnce, countsAnyone bool
-	// waits: acknowledgements are waited for, unlike by the version before. No mistake.
-	waits bool
+// watermarkFaults are deliberate faults in the decisions; the model must detect each.
+type watermarkFaults struct {
+	renewalAdvancesWatermark, trustsYoungProcess, confirmsDuringGrant, confirmsInRecovery, ignoresMaxLag, countsFromReply, omitsKnown, reportsNothingOutstanding, skipsAcknowledgement, countsAnySibling bool
+	// waitsForAcks is not a fault: acknowledgements are waited for, which the previous version does not do.
+	waitsForAcks bool
 }
 
-// waitFor is for how many ticks acknowledgements are waited for.
-func (m *mistakes) waitFor() int8 {
-	if m.waits {
-		return waitFor
+// ackTimeout returns for how many ticks acknowledgements are waited for.
+func (m *watermarkFaults) ackTimeout() int8 {
+	if m.waitsForAcks {
+		return ackTimeoutTicks
 	}
 	return 0
 }
@@ -75,263 +79,265 @@
 
 func ago(age int8) time.Time { return noon.Add(-time.Duration(age) * tick) }
 
-func (w *world) watermark(n int) (h Watermark) {
-	h = Watermark{RecordsThrough: ago(w.records), BySibling: map[string]PeerKnowledge{}}
+func (w *watermarkModel) watermark(n int) (h Watermark) {
+	h = Watermark{RecordsThrough: ago(w.recordsAge), BySibling: map[string]PeerKnowledge{}}
 	for k := range n {
-		h.BySibling[fmt.Sprint(k)] = PeerKnowledge{KnownThrough: ago(w.s[k].told), SilentUntil: ago(w.s[k].quiet)}
+		h.BySibling[fmt.Sprint(k)] = PeerKnowledge{KnownThrough: ago(w.siblings[k].knownThroughAge), SilentUntil: ago(w.siblings[k].silentUntilAge)}
 	}
 	return h
 }
 
-func age(t time.Time) int8 {
-	// What lies between two ticks counts as the earlier: less is known.
+func ageOf(t time.Time) int8 {
+	// A time between two ticks counts as the earlier tick, which claims less knowledge.
 	d := noon.Sub(t)
 	a := d / tick
 	if d > 0 && d%tick != 0 {
 		a++
 	}
-	return int8(min(a, beyond+1))
+	return int8(min(a, maxAge+1))
 }
 
-// wrong tells what may not be.
-func (w *world) wrong(n int, bad mistakes) string {
-	if w.confirmed == never || w.knows {
+// violation describes which invariant the state violates, "" if none.
+func (w *watermarkModel) violation(n int, faults watermarkFaults) string {
+	if w.confirmedAge == never || w.knows {
 		return ""
 	}
 	h := w.watermark(n)
-	if ago(w.confirmed).Before(h.Time()) {
-		return "confirmed before the watermark, and not known"
+	if ago(w.confirmedAge).Before(h.Time()) {
+		return "a cancellation was confirmed before the watermark but is unknown to the holder"
 	}
-	if (MayRenew(h.Time(), renewFor*tick, noon) || bad.boundDropped) && w.confirmed > renewFor-bad.waitFor() {
-		return "what is answered outlives it"
+	if (MayRenew(h.Time(), maxLagTicks*tick, noon) || faults.ignoresMaxLag) && w.confirmedAge > maxLagTicks-faults.ackTimeout() {
+		return "a renewed task outlives its cancellation"
 	}
 	return ""
 }
 
-// pass lets a tick pass.
-func (w *world) pass(n int) {
-	older := func(a *int8) {
-		if *a != never && *a <= beyond {
+// advance lets a tick pass.
+func (w *watermarkModel) advance(n int) {
+	grow := func(a *int8) {
+		if *a != never && *a <= maxAge {
 			*a++
 		}
 	}
-	older(&w.confirmed)
-	older(&w.records)
-	older(&w.reading)
+	grow(&w.confirmedAge)
+	grow(&w.recordsAge)
+	grow(&w.readAge)
 	for k := range n {
-		s := &w.s[k]
-		for _, a := range []*int8{&s.synced, &s.known, &s.named, &s.told, &s.q.asked, &s.asked} {
-			older(a)
+		s := &w.siblings[k]
+		for _, a := range []*int8{&s.recordsAge, &s.knownAge, &s.reportedAge, &s.knownThroughAge, &s.request.askedAge, &s.askedAge} {
+			grow(a)
 		}
-		if s.quiet <= beyond {
-			s.quiet++
+		if s.silentUntilAge <= maxAge {
+			s.silentUntilAge++
 		}
-		if s.until > 0 {
-			s.until--
+		if s.grantLeft > 0 {
+			s.grantLeft--
 		}
-		if s.bound > 0 {
-			s.bound--
+		if s.boundFor > 0 {
+			s.boundFor--
 		}
-		if s.age <= beyond && !s.down {
-			s.age++
+		if s.processAge <= maxAge && !s.down {
+			s.processAge++
 		}
 		if s.served {
 			s.unserved = 0
-		} else if s.unserved <= beyond {
+		} else if s.unserved <= maxAge {
 			s.unserved++
 		}
-		if s.q.asked != never && time.Duration(s.q.asked)*tick > RequestTimeout {
-			s.q = question{asked: never} // it is not waited for any more
+		if s.request.askedAge != never && time.Duration(s.request.askedAge)*tick > RequestTimeout {
+			s.request = reportRequest{askedAge: never} // the request timed out
 		}
 	}
 }
 
-func (s *sibling) giving() map[string]Grant {
-	return map[string]Grant{"h": {Until: noon.Add(time.Duration(s.until) * tick), ReportedAt: ago(s.named)}}
+func (s *siblingState) grants() map[string]Grant {
+	return map[string]Grant{"h": {Until: noon.Add(time.Duration(s.grantLeft) * tick), ReportedAt: ago(s.reportedAge)}}
 }
 
-// next are all states that may follow.
-func (w world) next(n int, bad mistakes) (all []world) {
-	add := func(change func(*world)) {
+// next returns the possible successor states.
+func (w watermarkModel) next(n int, faults watermarkFaults) (all []watermarkModel) {
+	add := func(change func(*watermarkModel)) {
 		c := w
 		change(&c)
 		if c != w {
 			all = append(all, c)
 		}
 	}
-	add(func(c *world) { c.pass(n) })
-	for _, away := range []bool{true, false} { // for all, for the holder alone, or for nobody
-		add(func(c *world) {
+	add(func(c *watermarkModel) { c.advance(n) })
+	for _, away := range []bool{true, false} { // the service is unavailable to all or to none; below, to the holder or one sibling alone
+		add(func(c *watermarkModel) {
 			c.served = !away
 			for k := range n {
-				c.s[k].served = !away
+				c.siblings[k].served = !away
 			}
 		})
 	}
-	add(func(c *world) { c.served = false })
-	add(func(c *world) { c.s[0].served = false })
+	add(func(c *watermarkModel) { c.served = false })
+	add(func(c *watermarkModel) { c.siblings[0].served = false })
 	if w.served {
-		if w.reading == never {
-			add(func(c *world) { c.reading, c.read = 0, c.recorded })
+		if w.readAge == never {
+			add(func(c *watermarkModel) { c.readAge, c.readHasCancellation = 0, c.recorded })
 		}
-		if bad.renewalProves {
-			add(func(c *world) { c.records = 0 })
+		if faults.renewalAdvancesWatermark {
+			add(func(c *watermarkModel) { c.recordsAge = 0 })
 		}
 	}
-	if w.reading != never {
-		add(func(c *world) {
+	if w.readAge != never {
+		add(func(c *watermarkModel) {
 			h := c.watermark(n)
-			h.ObserveRecords(ago(c.reading))
-			c.records, c.knows = age(h.RecordsThrough), c.knows || c.read
-			c.reading, c.read = never, false
+			h.ObserveRecords(ago(c.readAge))
+			c.recordsAge, c.knows = ageOf(h.RecordsThrough), c.knows || c.readHasCancellation
+			c.readAge, c.readHasCancellation = never, false
 		})
-		add(func(c *world) { c.reading, c.read = never, false })
+		add(func(c *watermarkModel) { c.readAge, c.readHasCancellation = never, false })
 	}
 	for k := range n {
-		s := w.s[k]
-		// It ends, and begins again.
-		add(func(c *world) {
-			s := &c.s[k]
+		s := w.siblings[k]
+		// The sibling ends or starts again.
+		add(func(c *watermarkModel) {
+			s := &c.siblings[k]
 			if s.down {
 				s.down = false
 				return
 			}
-			s.down, s.age, s.synced, s.known, s.until, s.named, s.unserved = true, 0, never, never, 0, 0, int8(MinUnservedToGrant/tick)
+			s.down, s.processAge, s.recordsAge, s.knownAge, s.grantLeft, s.reportedAge, s.unserved = true, 0, never, never, 0, 0, int8(MinUnservedToGrant/tick)
 			s.acknowledged = false
-			s.bound = int8(RecoveryPeriod / tick)
-			if !s.q.answered {
-				s.q = question{asked: never}
+			s.boundFor = int8(RecoveryPeriod / tick)
+			if !s.request.answered {
+				s.request = reportRequest{askedAge: never}
 			}
 		})
 		if s.down {
 			continue
 		}
-		if s.bound > 0 { // the holder tells it what was granted
-			add(func(c *world) {
-				owed := RemainingMoratorium(ago(s.asked), noon)
-				if bad.nothingOutstanding {
-					owed = 0
+		if s.boundFor > 0 { // the holder reports what remains of the predecessor's grant
+			add(func(c *watermarkModel) {
+				remaining := RemainingMoratorium(ago(s.askedAge), noon)
+				if faults.reportsNothingOutstanding {
+					remaining = 0
 				}
-				c.s[k].bound = int8(min(RecoveryPeriod, owed+tick-1) / tick)
+				c.siblings[k].boundFor = int8(min(RecoveryPeriod, remaining+tick-1) / tick)
 			})
 		}
 		if s.served {
-			add(func(c *world) { // it reads
-				s := &c.s[k]
-				if s.synced, s.unserved = 0, 0; c.recorded && s.known == never {
-					s.known = 0
+			add(func(c *watermarkModel) { // the sibling reads the records
+				s := &c.siblings[k]
+				if s.recordsAge, s.unserved = 0, 0; c.recorded && s.knownAge == never {
+					s.knownAge = 0
 				}
 			})
 			if !w.recorded {
-				add(func(c *world) { c.recorded = true }) // its user cancels, and it hears no answer
-				add(func(c *world) { c.recorded, c.s[k].known = true, 0 })
+				add(func(c *watermarkModel) { c.recorded = true }) // the sibling's user cancels, and the sibling receives no reply
+				add(func(c *watermarkModel) { c.recorded, c.siblings[k].knownAge = true, 0 })
 			}
 		}
-		if bad.waits && s.known != never && !s.acknowledged {
-			add(func(c *world) { c.s[k].acknowledged, c.knows = true, true }) // it announces it
-			if bad.countsAnyone {
-				add(func(c *world) { c.s[k].acknowledged = true }) // another sibling's report is taken for the holder's
+		if faults.waitsForAcks && s.knownAge != never && !s.acknowledged {
+			add(func(c *watermarkModel) { c.siblings[k].acknowledged, c.knows = true, true }) // the sibling announces the cancellation
+			if faults.countsAnySibling {
+				add(func(c *watermarkModel) { c.siblings[k].acknowledged = true }) // another sibling's acknowledgement is taken for the holder's
 			}
 		}
-		if s.known != never && w.confirmed == never && (bad.tellsAtOnce || AnnouncementDone(ago(s.known), s.acknowledged, time.Duration(bad.waitFor())*tick, noon)) {
-			bound := ago(-s.bound)
-			if bad.confirmsYoung {
-				bound = noon
+		if s.knownAge != never && w.confirmedAge == never && (faults.skipsAcknowledgement || AnnouncementDone(ago(s.knownAge), s.acknowledged, time.Duration(faults.ackTimeout())*tick, noon)) {
+			boundUntil := ago(-s.boundFor)
+			if faults.confirmsInRecovery {
+				boundUntil = noon
 			}
-			if bad.neverQuiet || MayConfirm(ago(s.known), bound, s.giving(), noon) {
-				add(func(c *world) { c.confirmed = 0 })
+			if faults.confirmsDuringGrant || MayConfirm(ago(s.knownAge), boundUntil, s.grants(), noon) {
+				add(func(c *watermarkModel) { c.confirmedAge = 0 })
 			}
 		}
-		if s.q.asked == never {
-			add(func(c *world) {
+		if s.request.askedAge == never {
+			add(func(c *watermarkModel) {
 				h := c.watermark(n)
-				c.s[k].q, c.s[k].asked = question{asked: 0, since: age(h.Time())}, 0
+				c.siblings[k].request, c.siblings[k].askedAge = reportRequest{askedAge: 0, watermarkAge: ageOf(h.Time())}, 0
 			})
-		} else if !s.q.answered {
-			add(func(c *world) {
-				s := &c.s[k]
-				s.q.answered, s.q.age, s.q.synced = true, s.age, s.synced
-				s.q.given = Grantor{Unserved: time.Duration(s.unserved) * tick, RecordsLoaded: s.synced != never, RequesterAlive: true}.MayGrant()
-				s.q.names = s.known != never && time.Duration(s.known-s.q.since)*tick <= RequestTimeout && !bad.forgetsToName
-				if s.q.given {
-					g := s.giving()["h"].Extend(noon, MoratoriumDuration)
-					s.until, s.named = int8(g.Until.Sub(noon)/tick), age(g.ReportedAt)
+		} else if !s.request.answered {
+			add(func(c *watermarkModel) {
+				s := &c.siblings[k]
+				s.request.answered, s.request.processAge, s.request.recordsAge = true, s.processAge, s.recordsAge
+				s.request.granted = Grantor{Unserved: time.Duration(s.unserved) * tick, RecordsLoaded: s.recordsAge != never, RequesterAlive: true}.MayGrant()
+				s.request.namesCancellation = s.knownAge != never && time.Duration(s.knownAge-s.request.watermarkAge)*tick <= RequestTimeout && !faults.omitsKnown
+				if s.request.granted {
+					g := s.grants()["h"].Extend(noon, MoratoriumDuration)
+					s.grantLeft, s.reportedAge = int8(g.Until.Sub(noon)/tick), ageOf(g.ReportedAt)
 				}
 			})
 		} else {
-			add(func(c *world) {
-				s := &c.s[k]
-				c.knows = c.knows || s.q.names
-				h, asked := c.watermark(n), ago(s.q.asked)
-				if bad.fromTheAnswer {
-					asked = noon
+			add(func(c *watermarkModel) {
+				s := &c.siblings[k]
+				c.knows = c.knows || s.request.namesCancellation
+				h, askedAt := c.watermark(n), ago(s.request.askedAge)
+				if faults.countsFromReply {
+					askedAt = noon
 				}
-				report := CancellationReport{ProcessAge: time.Duration(s.q.age) * tick, Complete: true}
-				if s.q.given {
+				report := CancellationReport{ProcessAge: time.Duration(s.request.processAge) * tick, Complete: true}
+				if s.request.granted {
 					report.SilentFor = MoratoriumDuration
 				}
-				if s.q.synced != never {
-					report.RecordsAge = time.Duration(s.q.synced)*tick + time.Millisecond
+				if s.request.recordsAge != never {
+					report.RecordsAge = time.Duration(s.request.recordsAge)*tick + time.Millisecond
 				}
-				if bad.believesYoung {
+				if faults.trustsYoungProcess {
 					report.ProcessAge = time.Hour
 				}
-				h.ObserveReport(fmt.Sprint(k), report, asked, noon)
-				heard := h.BySibling[fmt.Sprint(k)]
-				c.records, s.told, s.quiet = age(h.RecordsThrough), age(heard.KnownThrough), age(heard.SilentUntil)
-				s.q = question{asked: never}
+				h.ObserveReport(fmt.Sprint(k), report, askedAt, noon)
+				peer := h.BySibling[fmt.Sprint(k)]
+				c.recordsAge, s.knownThroughAge, s.silentUntilAge = ageOf(h.RecordsThrough), ageOf(peer.KnownThrough), ageOf(peer.SilentUntil)
+				s.request = reportRequest{askedAge: never}
 			})
-			add(func(c *world) { c.s[k].q = question{asked: never} }) // lost
+			add(func(c *watermarkModel) { c.siblings[k].request = reportRequest{askedAge: never} }) // the reply is lost
 		}
 	}
 	return all
 }
 
-func calm() (w world) {
-	w = world{confirmed: never, served: true, reading: never}
-	for k := range w.s {
-		w.s[k] = sibling{served: true, age: beyond + 1, asked: beyond + 1, known: never, told: 1, quiet: 1, q: question{asked: never}}
+// normalState is the state without any failure.
+func normalState() (w watermarkModel) {
+	w = watermarkModel{confirmedAge: never, served: true, readAge: never}
+	for k := range w.siblings {
+		w.siblings[k] = siblingState{served: true, processAge: maxAge + 1, askedAge: maxAge + 1, knownAge: never, knownThroughAge: 1, silentUntilAge: 1, request: reportRequest{askedAge: never}}
 	}
 	return w
 }
 
-// amid is where the service has been away for a while, and the sibling has just been asked.
-func amid() (w world) {
-	w = calm()
-	w.served, w.records = false, 4
-	for k := range w.s {
-		w.s[k].served, w.s[k].unserved, w.s[k].synced, w.s[k].told, w.s[k].quiet = false, 4, 4, 4, 4
-		w.s[k].q, w.s[k].asked = question{since: 4}, 0
+// outageState is a state during an outage, in which the holder has just requested the siblings' reports.
+func outageState() (w watermarkModel) {
+	w = normalState()
+	w.served, w.recordsAge = false, 4
+	for k := range w.siblings {
+		w.siblings[k].served, w.siblings[k].unserved, w.siblings[k].recordsAge, w.siblings[k].knownThroughAge, w.siblings[k].silentUntilAge = false, 4, 4, 4, 4
+		w.siblings[k].request, w.siblings[k].askedAge = reportRequest{watermarkAge: 4}, 0
 	}
 	return w
 }
 
-// followed tells whether a state is within what ages tell apart.
-func (w *world) followed(n int) bool {
-	if w.records > beyond || w.confirmed > beyond {
+// withinBounds reports whether all ages of a state are within the distinguished range.
+func (w *watermarkModel) withinBounds(n int) bool {
+	if w.recordsAge > maxAge || w.confirmedAge > maxAge {
 		return false
 	}
 	for k := range n {
-		if w.s[k].told > beyond || w.s[k].synced > beyond {
+		if w.siblings[k].knownThroughAge > maxAge || w.siblings[k].recordsAge > maxAge {
 			return false
 		}
 	}
 	return true
 }
 
-// all visits every state that can be reached with so many siblings, so many states at most.
-func all(from world, n int, bad mistakes, most int) (states int, what string) {
-	seen := map[world]bool{from: true}
-	queue := []world{from}
-	for len(queue) > 0 && len(seen) < most {
+// exploreWatermark visits up to maxStates reachable states with n siblings, depth-first, and describes the
+// first violation.
+func exploreWatermark(from watermarkModel, n int, faults watermarkFaults, maxStates int) (states int, description string) {
+	seen := map[watermarkModel]bool{from: true}
+	queue := []watermarkModel{from}
+	for len(queue) > 0 && len(seen) < maxStates {
 		w := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
-		for _, c := range w.next(n, bad) {
-			if seen[c] || !c.followed(n) {
+		for _, c := range w.next(n, faults) {
+			if seen[c] || !c.withinBounds(n) {
 				continue
 			}
-			if what := c.wrong(n, bad); what != "" {
-				return len(seen), fmt.Sprintf("%s: %+v", what, c)
+			if description := c.violation(n, faults); description != "" {
+				return len(seen), fmt.Sprintf("%s: %+v", description, c)
 			}
 			seen[c] = true
 			queue = append(queue, c)
@@ -340,98 +346,98 @@
 	return len(seen), ""
 }
 
-// wander goes through so many states at random.
-func wander(from world, n int, bad mistakes, seed uint64, most int) (states int, what string) {
+// walkWatermark visits about maxStates states on random walks and describes the first violation.
+func walkWatermark(from watermarkModel, n int, faults watermarkFaults, seed uint64, maxStates int) (states int, description string) {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	for states < most {
+	for states < maxStates {
 		w := from
 		for range 40 {
 			states++
-			next := w.next(n, bad)
+			next := w.next(n, faults)
 			if w = next[rng.IntN(len(next))]; rng.IntN(3) == 0 {
-				w.pass(n)
+				w.advance(n)
 			}
-			if !w.followed(n) {
+			if !w.withinBounds(n) {
 				break
 			}
-			if what := w.wrong(n, bad); what != "" {
-				return states, fmt.Sprintf("%s: %+v", what, w)
+			if description := w.violation(n, faults); description != "" {
+				return states, fmt.Sprintf("%s: %+v", description, w)
 			}
 		}
 	}
 	return states, ""
 }
 
-// Whatever is confirmed before the watermark is known, and nothing that is answered outlives it;
-// each mistake that is put in is seen.
-func TestNoCancellationIsOutlived(t *testing.T) {
-	for _, none := range []mistakes{{}, {waits: true}} {
-		n, what := all(calm(), 1, none, 200_000)
-		if what != "" {
-			t.Fatalf("one sibling, waits %v, after %d states: %s", none.waits, n, what)
+// A holder knows every cancellation that was confirmed before its watermark, and no task that it renews
+// outlives its cancellation. The model detects each injected fault.
+func TestNoTaskOutlivesItsCancellation(t *testing.T) {
+	for _, faultless := range []watermarkFaults{{}, {waitsForAcks: true}} {
+		n, description := exploreWatermark(normalState(), 1, faultless, 200_000)
+		if description != "" {
+			t.Fatalf("one sibling, waits %v, after %d states: %s", faultless.waitsForAcks, n, description)
 		}
-		t.Logf("one sibling, waits %v: %d states", none.waits, n)
-		if n, what := wander(amid(), 2, none, 1, 400_000); what != "" {
-			t.Fatalf("two siblings, waits %v, on a walk of %d states: %s", none.waits, n, what)
+		t.Logf("one sibling, waits %v: %d states", faultless.waitsForAcks, n)
+		if n, description := walkWatermark(outageState(), 2, faultless, 1, 400_000); description != "" {
+			t.Fatalf("two siblings, waits %v, after a random walk of %d states: %s", faultless.waitsForAcks, n, description)
 		}
 	}
-	for name, bad := range map[string]mistakes{"a renewal is taken for proof": {renewalProves: true}, "a young process speaks for the one before": {believesYoung: true},
-		"what was granted is confirmed": {neverQuiet: true}, "a young process confirms": {confirmsYoung: true}, "the bound is dropped": {boundDropped: true},
-		"the watermark counts from the answer": {fromTheAnswer: true}, "what is known is not named": {forgetsToName: true}, "nothing is said to be outstanding": {nothingOutstanding: true},
-		"users are told at once": {waits: true, tellsAtOnce: true}, "an acknowledgement of another counts": {waits: true, countsAnyone: true}} {
-		n, what := wander(amid(), 1, bad, 8, 1_000_000)
-		if what == "" {
-			t.Errorf("%s: not seen", name)
+	for name, faults := range map[string]watermarkFaults{"a session renewal advances the watermark": {renewalAdvancesWatermark: true}, "a new process reports for its predecessor": {trustsYoungProcess: true},
+		"a cancellation is confirmed during a grant": {confirmsDuringGrant: true}, "a process confirms during its recovery period": {confirmsInRecovery: true}, "the lag limit is ignored": {ignoresMaxLag: true},
+		"the watermark counts from the reply": {countsFromReply: true}, "a known cancellation is omitted": {omitsKnown: true}, "nothing is reported as outstanding": {reportsNothingOutstanding: true},
+		"users are told without acknowledgement": {waitsForAcks: true, skipsAcknowledgement: true}, "an acknowledgement of another sibling counts": {waitsForAcks: true, countsAnySibling: true}} {
+		n, description := walkWatermark(outageState(), 1, faults, 8, 1_000_000)
+		if description == "" {
+			t.Errorf("%s: not detected", name)
 		} else {
-			t.Logf("%s: seen after %d states", name, n)
+			t.Logf("%s: detected after %d states", name, n)
 		}
 	}
 }
 
-// The report of one sibling proves nothing while another never spoke, and records do without any.
-func TestAllSiblingsSpeakOrNone(t *testing.T) {
+// Reports advance the watermark only once all siblings have reported; records advance it without reports.
+func TestWatermarkNeedsReportsOfAllSiblings(t *testing.T) {
 	h := NewWatermark([]string{"a", "b", "c"})
 	h.ObserveRecords(ago(60))
 	report := CancellationReport{ProcessAge: time.Hour, Complete: true}
 	h.ObserveReport("a", report, ago(3), ago(2))
 	h.ObserveReport("c", report, ago(5), ago(4))
 	if at := h.Time(); !at.Equal(ago(60)) {
-		t.Errorf("two of three spoke: %v before", noon.Sub(at))
+		t.Errorf("two of three reported: the watermark lags by %v", noon.Sub(at))
 	}
-	h.ObserveReport("b", CancellationReport{ProcessAge: time.Hour}, ago(2), ago(1)) // of the version before: it names nothing
+	h.ObserveReport("b", CancellationReport{ProcessAge: time.Hour}, ago(2), ago(1)) // from the previous version, which names no cancellations
 	if at := h.Time(); !at.Equal(ago(60)) {
-		t.Errorf("one gives no report: %v before", noon.Sub(at))
+		t.Errorf("one report is incomplete: the watermark lags by %v", noon.Sub(at))
 	}
 	h.ObserveReport("b", report, ago(4), ago(4))
 	if at := h.Time(); !at.Equal(ago(5)) {
-		t.Errorf("all spoke: %v before", noon.Sub(at))
+		t.Errorf("all reported: the watermark lags by %v", noon.Sub(at))
 	}
 	h.ObserveReport("b", CancellationReport{ProcessAge: time.Hour, RecordsAge: time.Second, Complete: true}, noon, noon)
 	if at := h.Time(); !at.After(ago(2)) || !at.Before(noon) {
-		t.Errorf("one knows the records: %v before", noon.Sub(at))
+		t.Errorf("one reported its records: the watermark lags by %v", noon.Sub(at))
 	}
 	alone := NewWatermark(nil)
 	if alone.ObserveRecords(ago(7)); !alone.Time().Equal(ago(7)) {
-		t.Errorf("without siblings: %v before", noon.Sub(alone.Time()))
+		t.Errorf("without siblings: the watermark lags by %v", noon.Sub(alone.Time()))
 	}
 }
 
-// Of the jobs that are known to be cancelled those of late are named; when too many came, that
-// is said.
-func TestCancellationsAreNamedWhole(t *testing.T) {
+// Since returns the cancellations learned since a time, and reports the list as incomplete once some of
+// them have been forgotten.
+func TestCancellationsSinceReportsCompleteness(t *testing.T) {
 	var c Cancellations
 	for k := range maxCancellations {
 		c.Learn(fmt.Sprintf("wk-%d", k), noon.Add(time.Duration(k)*time.Millisecond))
 	}
 	last := noon.Add((maxCancellations - 1) * time.Millisecond)
-	if jobs, whole := c.Since(last.Add(-time.Millisecond)); !whole || !slices.Equal(jobs, []string{"wk-8191", "wk-8190"}) {
-		t.Errorf("%v %v", jobs, whole)
+	if jobs, complete := c.Since(last.Add(-time.Millisecond)); !complete || !slices.Equal(jobs, []string{"wk-8191", "wk-8190"}) {
+		t.Errorf("got %v, complete %v", jobs, complete)
 	}
 	if c.Learn("wk-0", last) {
-		t.Error("learnt twice")
+		t.Error("a known cancellation was learned again")
 	}
 	c.Learn("wk-9000", last.Add(time.Second))
-	if jobs, whole := c.Since(noon); whole || len(jobs) != maxCancellations || c.Has("wk-0") || !c.Has("wk-9000") {
-		t.Errorf("%d jobs, whole %v", len(jobs), whole)
+	if jobs, complete := c.Since(noon); complete || len(jobs) != maxCancellations || c.Has("wk-0") || !c.Has("wk-9000") {
+		t.Errorf("%d jobs, complete %v", len(jobs), complete)
 	}
 }
