--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -145,7 +145,7 @@
 
 // load is what the slots carry, and whose holders are doubted.
 func (o *Owner) load(now time.Time) ring.Load {
-	l := ring.Load{Slots: make([]float64, o.slots), Doubted: map[string]bool{}}
+	l := ring.Load{Slots: make([]float64, o.slots), Unresponsive: map[string]bool{}}
 	for n := range l.Slots {
 		s := o.board.Slots[n]
 		if s == nil {
@@ -158,7 +158,7 @@
 		l.Slots[n] = ring.LoadOf(len(s.Machines), tasks)
 	}
 	for name, p := range o.peers {
-		l.Doubted[name] = !p.valid || now.Sub(p.heard) > doubtAfter
+		l.Unresponsive[name] = !p.valid || now.Sub(p.heard) > doubtAfter
 	}
 	return l
 }
--- a/internal/ring/assign.go
+++ b/internal/ring/assign.go
@@ -7,30 +7,31 @@
 	"daledyke/internal/bookkeeping"
 )
 
-// Load is what a leader knows of the load of the slots' holders.
+// Load is what a leader knows of the load that each slot puts on its holder.
 type Load struct {
-	// Slots is each slot's load, in machines' worth; nil if it is not known.
+	// Slots is the load of each slot, in units of one idle machine; nil if it is not known.
 	Slots []float64
-	// Doubted are controllers that were not heard of lately: nothing is moved to them.
-	Doubted map[string]bool
-	// MayMove: a slot may be moved for balance alone now, which is so once in BalanceEvery.
-	MayMove bool
+	// Unresponsive contains the controllers not heard from recently; no slot is moved to them for balance.
+	Unresponsive map[string]bool
+	// MayRebalance permits moving one slot solely to balance load. The leader limits how often it is set.
+	MayRebalance bool
 }
 
-// LoadOf is the load of a number of machines with so many tasks: each machine keeps a
-// connection and reports regularly, and reports grow with tasks.
+// LoadOf returns the load of machines that run tasks: each machine keeps a connection and reports
+// regularly, and its reports grow with its tasks.
 func LoadOf(machines, tasks int) float64 { return float64(machines) + float64(tasks)/4 }
 
 const (
-	// Uneven is how many times the mean the most loaded holder may carry before a slot is
-	// moved for balance alone, and worthwhile by how much of the mean that must lower it:
-	// for up to a report interval nothing is started on the machines of a slot that moves.
-	Uneven     = 1.3
-	worthwhile = 0.1
-	// leastExcess is by how much above the mean the most loaded holder must be: any
-	// controller carries so much more with ease, and a small fleet's slots stay where they
-	// are (once, one moved amid the only task of a trace, whose end was late for it).
-	leastExcess = 32
+	// ImbalanceFactor is how many times the mean load the most loaded holder may carry before a slot is
+	// moved solely for balance. minImprovement is the fraction of the mean by which the move must lower
+	// the highest load, because no task is started on the machines of a moved slot for up to a report
+	// interval.
+	ImbalanceFactor = 1.3
+	minImprovement  = 0.1
+	// minExcess is by how much the most loaded holder must exceed the mean. Any controller can carry
+	// that much more, and the slots of a small fleet do not move: in a small fleet, a move delayed the
+	// end of a trace's only task.
+	minExcess = 32
 )
 
 func (l *Load) of(slot int) float64 {
@@ -40,36 +41,37 @@
 	return 1
 }
 
-// assign says who is to hold each slot. It is its home's, as long as that hears its workers;
-// what was moved from there for balance stays where it is as long as the holder does. The
-// slots of those that are away stay with their heirs, and go to the least loaded of the
-// others when they have none: once they went to the first in order, who had twice the load
-// of the rest after a cut of a zone.
-func assign(cur *bookkeeping.Window, names, hearing []string, load Load) (assignment []string, moved []int) {
+// assign returns the holder of each slot, and the slots that were moved from their home holder for
+// balance. A slot belongs to its home holder while the home holder's workers can reach it; a slot moved
+// for balance stays with its holder while that holder's workers can reach it. A slot whose home holder
+// is away stays with its present holder, or goes to the least loaded available controller if it has
+// none. Assigning such slots to the first controller in order gave that controller twice the load of
+// the others after a zone was cut off.
+func assign(cur *bookkeeping.Window, names, reachable []string, load Load) (assignment []string, moved []int) {
 	assignment = make([]string, SlotCount(len(names)))
-	carries := map[string]float64{}
-	had := func(s int) string {
-		if cur != nil && s < len(cur.Assignment) && slices.Contains(hearing, cur.Assignment[s]) {
+	loads := map[string]float64{}
+	presentHolder := func(s int) string {
+		if cur != nil && s < len(cur.Assignment) && slices.Contains(reachable, cur.Assignment[s]) {
 			return cur.Assignment[s]
 		}
 		return ""
 	}
-	give := func(s int, to string) { assignment[s] = to; carries[to] += load.of(s) }
+	assignTo := func(s int, holder string) { assignment[s] = holder; loads[holder] += load.of(s) }
 	for s := range assignment {
 		home := names[s%len(names)]
-		switch at := had(s); {
-		case slices.Contains(hearing, home) && at != "" && at != home && slices.Contains(cur.Moved, s):
+		switch present := presentHolder(s); {
+		case slices.Contains(reachable, home) && present != "" && present != home && slices.Contains(cur.Moved, s):
 			moved = append(moved, s)
-			give(s, at)
-		case slices.Contains(hearing, home):
-			give(s, home)
-		case at != "":
-			give(s, at)
+			assignTo(s, present)
+		case slices.Contains(reachable, home):
+			assignTo(s, home)
+		case present != "":
+			assignTo(s, present)
 		}
 	}
-	least := func(of []string) string {
-		return slices.MinFunc(of, func(a, b string) int {
-			if d := carries[a] - carries[b]; d != 0 {
+	leastLoaded := func(candidates []string) string {
+		return slices.MinFunc(candidates, func(a, b string) int {
+			if d := loads[a] - loads[b]; d != 0 {
 				if d < 0 {
 					return -1
 				}
@@ -80,17 +82,17 @@
 	}
 	for s := range assignment {
 		if assignment[s] == "" {
-			give(s, least(hearing))
+			assignTo(s, leastLoaded(reachable))
 		}
 	}
-	if load.Slots == nil || !load.MayMove {
+	if load.Slots == nil || !load.MayRebalance {
 		return assignment, moved
 	}
-	sound := slices.DeleteFunc(slices.Clone(hearing), func(n string) bool { return load.Doubted[n] })
-	if s, to := evener(assignment, names, hearing, sound, carries, load); s >= 0 {
+	candidates := slices.DeleteFunc(slices.Clone(reachable), func(n string) bool { return load.Unresponsive[n] })
+	if s, to := bestMove(assignment, names, reachable, candidates, loads, load); s >= 0 {
 		assignment[s] = to
 		moved = slices.DeleteFunc(moved, func(m int) bool { return m == s })
-		if to != names[s%len(names)] && slices.Contains(hearing, names[s%len(names)]) {
+		if to != names[s%len(names)] && slices.Contains(reachable, names[s%len(names)]) {
 			moved = append(moved, s)
 			slices.Sort(moved)
 		}
@@ -98,34 +100,34 @@
 	return assignment, moved
 }
 
-// evener is the slot of the most loaded holder that is best moved, and to whom; -1 if none
-// is worth it.
-func evener(assignment, names, hearing, sound []string, carries map[string]float64, load Load) (slot int, to string) {
+// bestMove returns the slot of the most loaded holder whose move lowers the highest load most, and the
+// candidate that receives it; the slot is -1 if no move improves the balance enough.
+func bestMove(assignment, names, reachable, candidates []string, loads map[string]float64, load Load) (slot int, to string) {
 	slot = -1
-	if len(hearing) < 2 || len(sound) == 0 {
+	if len(reachable) < 2 || len(candidates) == 0 {
 		return slot, ""
 	}
 	total := 0.0
-	most := hearing[0]
-	for _, n := range hearing {
-		total += carries[n]
-		if carries[n] > carries[most] {
-			most = n
+	mostLoaded := reachable[0]
+	for _, n := range reachable {
+		total += loads[n]
+		if loads[n] > loads[mostLoaded] {
+			mostLoaded = n
 		}
 	}
-	mean := total / float64(len(hearing))
-	if carries[most] <= max(Uneven*mean, mean+leastExcess) {
+	mean := total / float64(len(reachable))
+	if loads[mostLoaded] <= max(ImbalanceFactor*mean, mean+minExcess) {
 		return slot, ""
 	}
-	best := carries[most] - worthwhile*mean
+	best := loads[mostLoaded] - minImprovement*mean
 	for s, holder := range assignment {
-		if holder != most {
+		if holder != mostLoaded {
 			continue
 		}
-		for _, n := range sound {
-			// What both then carry at most must be less by enough. Home comes first among equals.
-			after := max(carries[most]-load.of(s), carries[n]+load.of(s))
-			if n != most && (after < best || after == best && slot >= 0 && n == names[s%len(names)]) {
+		for _, n := range candidates {
+			// The higher of both loads after the move must be low enough. Among equals the home holder is preferred.
+			after := max(loads[mostLoaded]-load.of(s), loads[n]+load.of(s))
+			if n != mostLoaded && (after < best || after == best && slot >= 0 && n == names[s%len(names)]) {
 				slot, to, best = s, n, after
 			}
 		}
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring works out who has which share of the ring of job ids and of the
-// workers: the leader's decision, in numbered windows published in advance
+// Package ring divides the ring of job ids and the workers among the controllers.
+// The leader makes this decision in numbered windows, which it publishes in advance
 // ("Publish token ring partitions" of the source, docs/design.md).
 package ring
 
@@ -11,68 +11,70 @@
 	"daledyke/internal/protocol"
 )
 
-// NextWindow works out the window to publish, nil if it is not time yet: offset
-// into the present one, or at once when controllers came or went. names are all
-// controllers in a fixed order, members those whose sessions live; a window stands
-// for every. Controllers that their workers can't reach get none assigned.
-func NextWindow(cur *bookkeeping.Window, members map[string]*bookkeeping.Member, names []string, load Load, now time.Time, every, offset time.Duration) *bookkeeping.Window {
-	var owners, hearing []string
+// NextWindow returns the window to publish, nil if none is due. A window is due once
+// publishOffset of the current one has passed, or immediately when the owners or the
+// assignment change. names are all controllers in a fixed order, members those with
+// live sessions; a window lasts for period. Controllers that their workers cannot
+// reach are assigned no slots.
+func NextWindow(cur *bookkeeping.Window, members map[string]*bookkeeping.Member, names []string, load Load, now time.Time, period, publishOffset time.Duration) *bookkeeping.Window {
+	var owners, reachable []string
 	for _, n := range names {
 		if m := members[n]; m != nil {
 			owners = append(owners, n)
 			if !m.WorkersUnreachable {
-				hearing = append(hearing, n)
+				reachable = append(reachable, n)
 			}
 		}
 	}
 	if len(owners) == 0 {
 		return nil
 	}
-	if len(hearing) == 0 {
-		hearing = owners
+	if len(reachable) == 0 {
+		reachable = owners
 	}
-	assigned, moved := assign(cur, names, hearing, load)
-	w := &bookkeeping.Window{Number: 1, StartMs: now.UnixMilli(), Owners: owners, Assignment: assigned, Moved: moved, Divided: agreed(members, names, bookkeeping.GenerationBlocks, cur != nil && cur.Divided),
-		Apart: agreed(members, names, bookkeeping.GenerationApart, cur != nil && cur.Apart)}
+	assignment, moved := assign(cur, names, reachable, load)
+	w := &bookkeeping.Window{Number: 1, StartMs: now.UnixMilli(), Owners: owners, Assignment: assignment, Moved: moved, Divided: allSupport(members, names, bookkeeping.GenerationBlocks, cur != nil && cur.Divided),
+		Apart: allSupport(members, names, bookkeeping.GenerationApart, cur != nil && cur.Apart)}
 	if cur == nil {
 		return w
 	}
 	w.Number = cur.Number + 1
 	start := time.UnixMilli(cur.StartMs)
-	if !cur.SameOwners(w) || !slices.Equal(cur.Assignment, assigned) {
+	if !cur.SameOwners(w) || !slices.Equal(cur.Assignment, assignment) {
 		w.StartMs = max(now.Add(300*time.Millisecond).UnixMilli(), cur.StartMs)
 		return w
 	}
-	if now.Before(start.Add(offset)) && start.Sub(now) < 2*every {
+	if now.Before(start.Add(publishOffset)) && start.Sub(now) < 2*period {
 		return nil
 	}
-	w.StartMs = max(now.UnixMilli(), start.Add(every).UnixMilli())
+	w.StartMs = max(now.UnixMilli(), start.Add(period).UnixMilli())
 	return w
 }
 
-// agreed tells whether jobs may be placed as versions from a generation on do: every
-// controller was seen at once to know of it, and none came back since that doesn't. One that
-// is away may come back as it was before an upgrade, and would place what others do, such as
-// all of a job that others place blocks of.
-func agreed(members map[string]*bookkeeping.Member, names []string, generation int, before bool) bool {
-	known := 0
+// allSupport reports whether jobs may be placed in the way that versions from the given
+// generation on place them: all controllers were once live together with support for it, and
+// no controller without support has appeared since. A controller that is away may return in
+// the version before an upgrade, and would then place what other controllers place, such as
+// all of a job whose blocks other controllers place.
+func allSupport(members map[string]*bookkeeping.Member, names []string, generation int, before bool) bool {
+	supporting := 0
 	for _, n := range names {
 		switch m := members[n]; {
 		case m == nil:
 		case m.Generation < generation:
 			return false
 		default:
-			known++
+			supporting++
 		}
 	}
-	return known == len(names) || before
+	return supporting == len(names) || before
 }
 
-// SlotCount is into how many shares the workers are assigned: enough that those
-// of one lost controller spread over all others.
+// SlotCount returns the number of slots into which the workers are divided: enough that
+// the slots of a lost controller can spread over all others.
 func SlotCount(controllers int) int { return max(1, controllers*(controllers-1)) }
 
-// SlotOf deals a machine to one of the slots.
+// SlotOf returns the slot that a machine belongs to.
 func SlotOf(machine string, slots int) int {
 	return int(protocol.MachineNumber(machine) % uint64(slots))
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -10,53 +10,53 @@
 var controllers = []string{"c0", "c1", "c2"}
 
 func members(names ...string) map[string]*bookkeeping.Member {
-	out := map[string]*bookkeeping.Member{}
+	members := map[string]*bookkeeping.Member{}
 	for i, n := range names {
-		out[n] = &bookkeeping.Member{Term: uint64(i + 1)}
+		members[n] = &bookkeeping.Member{Term: uint64(i + 1)}
 	}
-	return out
+	return members
 }
 
 func TestNextWindow(t *testing.T) {
-	const every, offset = 10 * time.Second, 5 * time.Second
+	const period, publishOffset = 10 * time.Second, 5 * time.Second
 	at := time.UnixMilli(1_000_000)
 	next := func(cur *bookkeeping.Window, m map[string]*bookkeeping.Member, now time.Time) *bookkeeping.Window {
-		return NextWindow(cur, m, controllers, Load{}, now, every, offset)
+		return NextWindow(cur, m, controllers, Load{}, now, period, publishOffset)
 	}
 	first := next(nil, members("c0", "c1", "c2"), at)
 	if first == nil || first.Number != 1 || !slices.Equal(first.Owners, controllers) || len(first.Assignment) != 6 {
 		t.Fatalf("first window: %+v", first)
 	}
 	if w := next(first, members("c0", "c1", "c2"), at.Add(4*time.Second)); w != nil {
-		t.Errorf("published before the middle: %+v", w)
+		t.Errorf("published before the offset: %+v", w)
 	}
 	w := next(first, members("c0", "c1", "c2"), at.Add(5*time.Second))
-	if w == nil || w.Number != 2 || w.StartMs != first.StartMs+every.Milliseconds() {
-		t.Errorf("published in the middle: %+v", w)
+	if w == nil || w.Number != 2 || w.StartMs != first.StartMs+period.Milliseconds() {
+		t.Errorf("wrong window at the offset: %+v", w)
 	}
 	lost := next(first, members("c0", "c2"), at.Add(time.Second))
 	if lost == nil || !slices.Equal(lost.Owners, []string{"c0", "c2"}) || slices.Contains(lost.Assignment, "c1") {
 		t.Errorf("a lost controller must be replaced at once: %+v", lost)
 	}
 	if !slices.Contains(lost.Assignment[1:2], "c0") && !slices.Contains(lost.Assignment[4:5], "c0") || lost.Assignment[1] == lost.Assignment[4] {
-		t.Errorf("the workers of the lost controller go to one heir alone: %v", lost.Assignment)
+		t.Errorf("the slots of the lost controller all went to one controller: %v", lost.Assignment)
 	}
-	deaf := members("c0", "c1", "c2")
-	deaf["c1"].WorkersUnreachable = true
-	if w := next(first, deaf, at); w == nil || slices.Contains(w.Assignment, "c1") || len(w.Owners) != 3 {
-		t.Errorf("a deaf controller keeps its range but gets no workers: %+v", w)
+	unreachable := members("c0", "c1", "c2")
+	unreachable["c1"].WorkersUnreachable = true
+	if w := next(first, unreachable, at); w == nil || slices.Contains(w.Assignment, "c1") || len(w.Owners) != 3 {
+		t.Errorf("a controller that its workers cannot reach must keep its range and get no slots: %+v", w)
 	}
 }
 
-// Blocks of jobs have owners of their own only once every controller was seen to know of
-// them: one that is away may come back as it was before an upgrade, and would place all of
-// a job of which others place blocks.
-func TestJobsAreDividedOnceAllKnow(t *testing.T) {
+// Blocks of a job have their own owners only once all controllers were live together with
+// support for blocks. A controller that is away may return in the version before an upgrade,
+// and would then place all of a job whose blocks other controllers place.
+func TestJobsAreDividedOnceAllControllersSupportIt(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
-	know := func(names ...string) map[string]*bookkeeping.Member {
+	supporting := func(names ...string) map[string]*bookkeeping.Member {
 		m := members(names...)
-		for _, x := range m {
-			x.Generation = bookkeeping.GenerationBlocks
+		for _, member := range m {
+			member.Generation = bookkeeping.GenerationBlocks
 		}
 		return m
 	}
@@ -66,33 +66,33 @@
 			w = n
 		}
 	}
-	older := know("c0", "c1", "c2")
+	older := supporting("c0", "c1", "c2")
 	older["c1"].Generation = bookkeeping.GenerationBlocks - 1
 	for i, step := range []struct {
 		m    map[string]*bookkeeping.Member
 		want bool
 	}{
 		{members("c0", "c1", "c2"), false},
-		{know("c0", "c2"), false},
+		{supporting("c0", "c2"), false},
 		{older, false},
-		{know("c0", "c1", "c2"), true},
-		{know("c0", "c2"), true}, // c1 was seen to know
+		{supporting("c0", "c1", "c2"), true},
+		{supporting("c0", "c2"), true}, // c1 was seen with support
 		{older, false},
-		{know("c0", "c2"), false},
+		{supporting("c0", "c2"), false},
 	} {
 		before := w
 		if next(step.m); w.Divided != step.want || w.Apart {
-			t.Errorf("step %d: divided is %v, apart %v", i, w.Divided, w.Apart)
+			t.Errorf("step %d: Divided is %v, Apart is %v", i, w.Divided, w.Apart)
 		}
 		if w.Divided != before.Divided && w == before {
-			t.Errorf("step %d: nobody was told", i)
+			t.Errorf("step %d: the change was not published", i)
 		}
 	}
-	all := know("c0", "c1", "c2")
+	all := supporting("c0", "c1", "c2")
 	for _, m := range all {
 		m.Generation = bookkeeping.GenerationApart
 	}
 	if next(all); !w.Apart || !w.Divided {
-		t.Errorf("all know of both: %+v", w)
+		t.Errorf("all controllers support both: %+v", w)
 	}
 }
