--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -9,34 +9,35 @@
 	"daledyke/internal/membership"
 )
 
-// Announcing cancellations: before a user is told that a job is cancelled, each sibling that may act
-// acknowledges it, or is waited for long enough (invariant 9). Once a holder that did not hear of a
-// cancellation went on starting and renewing its tasks for most of the time that they may remain.
+// This file announces cancellations to siblings. Before a user is told that a job is cancelled, each sibling
+// that may act must have acknowledged the cancellation, or a timeout must have passed (invariant 9). Without
+// announcements, a holder that had not learned of a cancellation kept starting and renewing the job's tasks for
+// most of the time in which they must end.
 
-// AnnounceArgs name jobs that are cancelled.
+// AnnounceArgs names jobs that are cancelled.
 type AnnounceArgs struct {
 	Caller    string
 	Cancelled []string
 }
 
-// AnnounceCaller reaches a sibling that is told of cancellations.
+// AnnounceCaller calls a sibling to announce cancellations.
 type AnnounceCaller interface {
 	Announce(ctx context.Context, a AnnounceArgs) error
 }
 
-// announceEvery is how soon a sibling that did not acknowledge is asked again, announceWait for how
-// long one question of a user waits for siblings: users ask again after a second.
+// announceRetryInterval is the delay before a failed announcement to a sibling is sent again. confirmTimeout
+// is how long one request of a user waits for acknowledgements; users repeat the request after a second.
 const (
-	announceEvery = 300 * time.Millisecond
-	announceWait  = time.Second
+	announceRetryInterval = 300 * time.Millisecond
+	confirmTimeout        = time.Second
 )
 
 func (p holderPeer) Announce(ctx context.Context, a AnnounceArgs) error {
 	return p.Call(ctx, membership.RequestTimeout, rpcName+".Announce", a, &Nothing{})
 }
 
-// Announce takes in which jobs a sibling knows to be cancelled; it returns once no answer or command
-// of this holder's renews or starts their tasks any more.
+// Announce records jobs that a sibling knows to be cancelled. It returns once no answer or command of this
+// holder renews or starts their tasks any more.
 func (r HolderRPC) Announce(a AnnounceArgs, _ *Nothing) error {
 	if !r.h.ask(r.h.ctx, func() { r.h.learnCancelled(a.Cancelled, time.Now()) }) {
 		return errNotNow
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// learnCancelled takes in that jobs are cancelled.
+// learnCancelled records that jobs are cancelled.
 func (h *Holder) learnCancelled(jobs []string, now time.Time) {
 	for _, job := range jobs {
 		if h.cancelled.Learn(job, now) {
@@ -53,28 +54,28 @@
 	}
 }
 
-// announcing is the state of the announcements to one sibling.
-type announcing struct {
-	underWay bool
-	holdOff  time.Time
+// announcementState is the state of the announcements to one sibling.
+type announcementState struct {
+	inFlight bool
+	retryAt  time.Time
 }
 
-// confirmation tells whether users may be told that a job is cancelled. If not yet, changed is
-// closed when that may be different; nil if nothing that is waited for here stands against it.
+// confirmation contains whether users may be told that a job is cancelled. If that is not yet allowed, changed
+// is closed when the result may differ; changed is nil if acknowledgements would make no difference.
 type confirmation struct {
-	may     bool
+	allowed bool
 	changed <-chan struct{}
 }
 
-// confirmCancelled tells whether a user may be told that a job is cancelled; it waits a moment for
-// siblings to acknowledge it.
+// confirmCancelled reports whether a user may be told that a job is cancelled. It waits up to confirmTimeout
+// for siblings to acknowledge the cancellation.
 func (h *Holder) confirmCancelled(ctx context.Context, job string) bool {
-	ctx, cancel := context.WithTimeout(ctx, announceWait)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	for {
 		c, ok := askFor(ctx, &h.actor, func() confirmation { return h.confirmation(job, time.Now()) })
-		if !ok || c.may || c.changed == nil {
-			return ok && c.may
+		if !ok || c.allowed || c.changed == nil {
+			return ok && c.allowed
 		}
 		select {
 		case <-c.changed:
@@ -84,93 +85,96 @@
 	}
 }
 
+// confirmation decides whether users may be told that a job is cancelled, and announces the cancellation if
+// necessary.
 func (h *Holder) confirmation(job string, now time.Time) confirmation {
 	if !h.mayConfirm(job) {
 		return confirmation{}
 	}
-	known, waitFor := h.cancelled.KnownSince(job), h.cfg.AnnounceFor()
-	if membership.AnnouncementDone(known, false, waitFor, now) {
-		return confirmation{may: true}
+	knownSince, ackTimeout := h.cancelled.KnownSince(job), h.cfg.AnnounceFor()
+	if membership.AnnouncementDone(knownSince, false, ackTimeout, now) {
+		return confirmation{allowed: true}
 	}
-	if h.announcements.Begin(job, h.audience()) {
-		h.announce(now)
+	if h.announcements.Begin(job, h.announcementTargets()) {
+		h.sendAnnouncements(now)
 	}
-	if complete := h.announcements.Complete(job, h.hears); membership.AnnouncementDone(known, complete, waitFor, now) {
-		return confirmation{may: true}
+	if complete := h.announcements.Complete(job, h.acceptsAnnouncements); membership.AnnouncementDone(knownSince, complete, ackTimeout, now) {
+		return confirmation{allowed: true}
 	}
 	return confirmation{changed: h.acknowledged}
 }
 
-// hears tells whether a sibling has a session and understands announcements.
-func (h *Holder) hears(sibling string) bool {
+// acceptsAnnouncements reports whether a sibling has a session and its version supports announcements.
+func (h *Holder) acceptsAnnouncements(sibling string) bool {
 	m := h.members[sibling]
 	return m != nil && m.Generation >= bookkeeping.GenerationAnnounced
 }
 
-// audience are the siblings that announcements go to.
-func (h *Holder) audience() (names []string) {
+// announcementTargets returns the siblings to which cancellations are announced.
+func (h *Holder) announcementTargets() (names []string) {
 	for _, s := range h.cfg.Siblings {
-		if h.hears(s.Name) {
+		if h.acceptsAnnouncements(s.Name) {
 			names = append(names, s.Name)
 		}
 	}
 	return names
 }
 
-// memberChanged takes in a controller's session, nil once it has ended.
+// memberChanged updates a controller's session; m is nil once the session has ended.
 func (h *Holder) memberChanged(name string, m *bookkeeping.Member) {
 	if m == nil {
 		delete(h.members, name)
 	} else {
 		h.members[name] = m
 	}
-	h.wakeConfirmations() // one whose session ended is not waited for
+	h.wakeConfirmations() // a sibling whose session ended need not acknowledge
 }
 
-// announce sends each sibling what it has not acknowledged, one request at a time.
-func (h *Holder) announce(now time.Time) {
-	for k, to := range h.announcers {
+// sendAnnouncements sends each sibling the cancellations that it has not acknowledged, with at most one request
+// in flight per sibling.
+func (h *Holder) sendAnnouncements(now time.Time) {
+	for k, announcer := range h.announcers {
 		name := h.cfg.Siblings[k].Name
 		state := h.announcing[name]
-		if state.underWay || now.Before(state.holdOff) || !h.hears(name) {
+		if state.inFlight || now.Before(state.retryAt) || !h.acceptsAnnouncements(name) {
 			continue
 		}
 		jobs := h.announcements.Due(name)
 		if len(jobs) == 0 {
 			continue
 		}
-		h.announcing[name] = announcing{underWay: true}
+		h.announcing[name] = announcementState{inFlight: true}
 		go func() {
-			err := to.Announce(h.ctx, AnnounceArgs{Caller: h.cfg.Name, Cancelled: jobs})
-			h.tell(func() { h.announced(name, jobs, err) })
+			err := announcer.Announce(h.ctx, AnnounceArgs{Caller: h.cfg.Name, Cancelled: jobs})
+			h.tell(func() { h.announcementAnswered(name, jobs, err) })
 		}()
 	}
 }
 
-// announced takes in whether a sibling acknowledged jobs.
-func (h *Holder) announced(name string, jobs []string, err error) {
+// announcementAnswered handles the result of an announcement of jobs to a sibling.
+func (h *Holder) announcementAnswered(name string, jobs []string, err error) {
 	now := time.Now()
 	if err != nil {
 		slog.Debug("cancellations not acknowledged", "by", name, "jobs", len(jobs), "err", err)
-		h.announcing[name] = announcing{holdOff: now.Add(announceEvery)}
+		h.announcing[name] = announcementState{retryAt: now.Add(announceRetryInterval)}
 		return
 	}
-	h.announcing[name] = announcing{}
+	h.announcing[name] = announcementState{}
 	h.announcements.Acknowledge(name, jobs)
 	h.wakeConfirmations()
-	h.announce(now)
+	h.sendAnnouncements(now)
 }
 
-// wakeConfirmations has all who wait for acknowledgements look again.
+// wakeConfirmations makes all requests that wait for acknowledgements check again.
 func (h *Holder) wakeConfirmations() {
 	close(h.acknowledged)
 	h.acknowledged = make(chan struct{})
 }
 
-// retryAnnouncements repeats what was not acknowledged, and drops what nobody waits for any more.
+// retryAnnouncements sends unacknowledged cancellations again, and drops those whose timeout has passed.
 func (h *Holder) retryAnnouncements(now time.Time) {
 	h.announcements.Forget(func(job string) bool {
 		return now.Sub(h.cancelled.KnownSince(job)) >= h.cfg.AnnounceFor()
 	})
-	h.announce(now)
+	h.sendAnnouncements(now)
 }
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -46,7 +46,7 @@
 func (h *Holder) may(job string) bool {
 	h.confirmation(job, time.Now())
 	h.told()
-	return h.confirmation(job, time.Now()).may
+	return h.confirmation(job, time.Now()).allowed
 }
 
 // A user is told once both siblings acknowledged; one that can't be reached is waited for, for as long
@@ -71,7 +71,7 @@
 			t.Error("told though one does not know")
 		}
 		siblings[1].away = false
-		time.Sleep(announceEvery)
+		time.Sleep(announceRetryInterval)
 		h.told()
 		if !h.may("wk-3") || !slices.Contains(siblings[1].knows, "wk-3") {
 			t.Error("not told though all know by now")
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -61,7 +61,7 @@
 		r.ServedMs = max(1, time.Since(h.served()).Milliseconds())
 	}
 	r.TellsStrays = true
-	if s := h.misrouted[a.Caller]; time.Since(s.at) < h.misroutedRecently() {
+	if s := h.misrouted[a.Caller]; time.Since(s.at) < h.misroutedMaxAge() {
 		r.Stray = s.Stray
 		r.Stray.AgoMs = time.Since(s.at).Milliseconds()
 	}
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -88,7 +88,7 @@
 	// order of the settings; acknowledged is closed and renewed when one did.
 	announcements membership.Announcements
 	announcers    []AnnounceCaller
-	announcing    map[string]announcing
+	announcing    map[string]announcementState
 	acknowledged  chan struct{}
 }
 
@@ -134,7 +134,7 @@
 		boundUntil:   now.Add(membership.RecoveryPeriod),
 		granted:      map[string]membership.Grant{},
 		watermark:    membership.NewWatermark(siblings),
-		announcing:   map[string]announcing{},
+		announcing:   map[string]announcementState{},
 		acknowledged: make(chan struct{}),
 		misrouted:    map[string]misroutedReport{},
 		types:        map[string]protocol.MachineType{},
@@ -154,7 +154,7 @@
 
 // Run runs the actor until its context ends.
 func (h *Holder) Run() {
-	go h.learnOutstanding()
+	go h.learnOutstandingGrants()
 	h.loop(250*time.Millisecond, h.tick)
 }
 
@@ -208,7 +208,7 @@
 	h.adopt()
 	h.release()
 	h.enroll()
-	h.listen(now)
+	h.checkReachability(now)
 	lease := config.Surely(h.cfg.WorkerLease())
 	for _, s := range h.slots {
 		if s.ready && !s.complete && now.Sub(s.adopted) > lease {
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -13,27 +13,28 @@
 	"daledyke/internal/transport"
 )
 
-// Riding out an outage of the state service: a holder whose session is no longer sure goes on
-// answering its workers, so that their leases live, for as long as every sibling grants it a
-// moratorium: not to take over its slots (invariant 2, docs/design-recovery.md). It stops what it
-// knows to be cancelled and does nothing else: nothing is started, rented or recorded. With its
-// grant each sibling reports which cancellations it knows, without which nothing is answered for
-// long (invariant 9). On the wire a moratorium is a "promise", and what a former process may have
-// granted is "owed".
+// This file keeps a holder answering its workers during an outage of the state service, so that their
+// leases do not expire. A holder whose session may have ended goes on answering for as long as every
+// sibling grants it a moratorium, which is a commitment not to take over its slots (invariant 2,
+// docs/design-recovery.md). Meanwhile the holder stops the tasks of jobs that it knows to be cancelled,
+// and starts, rents and records nothing. With its grant each sibling reports which cancellations it
+// knows; without these reports the holder soon has to stop answering (invariant 9). On the wire a
+// moratorium is a "promise", and the remainder of a grant by a former process is "owed".
 
-// PromiseArgs request a moratorium of a sibling, and which cancellations it knows.
+// PromiseArgs requests a moratorium of a sibling and the cancellations that the sibling knows.
 type PromiseArgs struct {
 	Caller string
 	// Term is the caller's incarnation.
 	Term uint64
-	// ForMs is for how long; 0, from the version before, is membership.BriefMoratoriumFor.
+	// ForMs is the requested duration; the previous version sends 0, which means
+	// membership.LegacyMoratoriumDuration.
 	ForMs int64
-	// SinceMs is how long ago the caller's watermark was: older cancellations are known to it.
+	// SinceMs is the age of the caller's watermark. The caller knows all cancellations confirmed before it.
 	SinceMs int64
 }
 
-// PromiseReply tells whether the moratorium is granted, and is the sibling's report of
-// cancellations; the version before gives none, which is one that is not complete.
+// PromiseReply contains whether the moratorium is granted, and the sibling's report of cancellations. The
+// previous version sends no report, which counts as an incomplete one.
 type PromiseReply struct {
 	Given           bool
 	AgeMs, SyncedMs int64
@@ -41,34 +42,35 @@
 	Cancelled       []string
 }
 
-// report is what the reply says of cancellations, once the sibling was asked for a moratorium of
-// some length.
-func (r *PromiseReply) report(requestedFor time.Duration) membership.CancellationReport {
+// cancellationReport returns the report of cancellations in the reply to a request for a moratorium of the
+// given duration.
+func (r *PromiseReply) cancellationReport(requested time.Duration) membership.CancellationReport {
 	report := membership.CancellationReport{
 		ProcessAge: time.Duration(r.AgeMs) * time.Millisecond,
 		RecordsAge: time.Duration(r.SyncedMs) * time.Millisecond,
 		Complete:   r.Whole,
 	}
 	if r.Given {
-		report.SilentFor = requestedFor
+		report.SilentFor = requested
 	}
 	return report
 }
 
-// OwedArgs ask a sibling which moratorium the caller's former process may have granted to it.
+// OwedArgs asks a sibling what remains of a moratorium that the caller's former process may have granted to
+// that sibling.
 type OwedArgs struct{ Caller string }
 
-// OwedReply tells for how long that may still bind.
+// OwedReply contains how long that moratorium may still bind the caller.
 type OwedReply struct{ ForMs int64 }
 
-// MoratoriumCaller reaches a sibling that may grant a moratorium, and may have been granted one.
+// MoratoriumCaller calls a sibling that may grant a moratorium or may hold one granted earlier.
 type MoratoriumCaller interface {
 	Promise(ctx context.Context, a PromiseArgs, reply *PromiseReply) error
 	Owed(ctx context.Context, a OwedArgs, reply *OwedReply) error
 }
 
-// holderPeer reaches a sibling over net/rpc, on a connection on which no request of another
-// kind is waited for.
+// holderPeer calls a sibling over net/rpc, on a connection used for no other kind of request, so that these
+// calls do not queue behind others.
 type holderPeer struct{ *transport.Peer }
 
 func (p holderPeer) Promise(ctx context.Context, a PromiseArgs, reply *PromiseReply) error {
@@ -79,75 +81,78 @@
 	return p.Call(ctx, membership.RequestTimeout, rpcName+".Owed", a, reply)
 }
 
-// Owed answers a controller that has just started.
+// Owed answers a recently started controller: it returns how long a moratorium that the controller's former
+// process may have granted to this holder may still last.
 func (r HolderRPC) Owed(_ OwedArgs, reply *OwedReply) error {
-	owed, ok := askFor(r.h.ctx, &r.h.actor, func() time.Duration { return membership.RemainingMoratorium(r.h.moratoriumRequested, time.Now()) })
+	remaining, ok := askFor(r.h.ctx, &r.h.actor, func() time.Duration { return membership.RemainingMoratorium(r.h.moratoriumRequested, time.Now()) })
 	if !ok {
 		return errNotNow
 	}
-	reply.ForMs = owed.Milliseconds() + 1
+	reply.ForMs = remaining.Milliseconds() + 1
 	return nil
 }
 
-// learnOutstanding finds out which moratoria the process before this one may have granted that
-// still bind: from each sibling that tells. (Without it every restart would cost its users
-// thirteen seconds in which no cancellation is confirmed, and nothing of others is taken over.)
-func (h *Holder) learnOutstanding() {
-	told := make([]bool, len(h.moratoriumPeers))
+// learnOutstandingGrants asks each sibling how long the moratoria that the predecessor process may have
+// granted still bind this process. Without the replies, every restart would delay confirmations of
+// cancellations and takeovers for the whole recovery period of 13 s.
+func (h *Holder) learnOutstandingGrants() {
+	answered := make([]bool, len(h.moratoriumPeers))
 	longest := time.Duration(0)
 	for h.ctx.Err() == nil && time.Since(h.started) < membership.RecoveryPeriod {
-		replies := h.askOutstanding(told)
+		replies := h.requestOutstandingGrants(answered)
 		for k, reply := range replies {
 			if reply != nil {
-				told[k] = true
+				answered[k] = true
 				longest = max(longest, time.Since(h.started)+time.Duration(reply.ForMs)*time.Millisecond)
 			}
 		}
-		if !slices.Contains(told, false) {
+		if !slices.Contains(answered, false) {
 			h.tell(func() { h.boundUntil = h.started.Add(min(longest, membership.RecoveryPeriod)) })
 			return
 		}
-		pause(h.ctx, outstandingEvery)
+		pause(h.ctx, outstandingRetryInterval)
 	}
 }
 
-// askOutstanding asks the siblings that have not told yet; the reply is nil where none came.
-func (h *Holder) askOutstanding(told []bool) []*OwedReply {
+// requestOutstandingGrants asks the siblings that have not answered yet; the reply of a sibling is nil if none
+// arrived.
+func (h *Holder) requestOutstandingGrants(answered []bool) []*OwedReply {
 	replies := make([]*OwedReply, len(h.moratoriumPeers))
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for k, peer := range h.moratoriumPeers {
-		if told[k] {
+		if answered[k] {
 			continue
 		}
-		all.Go(func() {
+		calls.Go(func() {
 			var reply OwedReply
 			if peer.Owed(h.ctx, OwedArgs{Caller: h.cfg.Name}, &reply) == nil {
 				replies[k] = &reply
 			}
 		})
 	}
-	all.Wait()
+	calls.Wait()
 	return replies
 }
 
-// outstandingEvery is how often siblings that did not answer are asked again.
-const outstandingEvery = 500 * time.Millisecond
+// outstandingRetryInterval is the delay before siblings that did not answer are asked again.
+const outstandingRetryInterval = 500 * time.Millisecond
 
-// Promise answers a holder that requests a moratorium.
+// Promise answers a holder's request for a moratorium.
 func (r HolderRPC) Promise(a PromiseArgs, reply *PromiseReply) error {
-	granted, ok := askFor(r.h.ctx, &r.h.actor, func() PromiseReply { return r.h.grantMoratorium(&a) })
+	answer, ok := askFor(r.h.ctx, &r.h.actor, func() PromiseReply { return r.h.answerMoratoriumRequest(&a) })
 	if !ok {
 		return errNotNow
 	}
-	*reply = granted
+	*reply = answer
 	return nil
 }
 
-// mostSince bounds how far back a sibling is told what is cancelled: nobody who may still act
-// asks for more.
-const mostSince = 24 * time.Hour
+// maxWatermarkAge bounds how far back a sibling may request cancellations. A controller that may still act
+// never requests more.
+const maxWatermarkAge = 24 * time.Hour
 
-func (h *Holder) grantMoratorium(a *PromiseArgs) PromiseReply {
+// answerMoratoriumRequest decides on a sibling's request and reports the cancellations known here.
+func (h *Holder) answerMoratoriumRequest(a *PromiseArgs) PromiseReply {
 	now := time.Now()
 	member := h.members[a.Caller]
 	grantor := membership.Grantor{
@@ -159,12 +164,12 @@
 	}
 	reply := PromiseReply{Given: grantor.MayGrant(), AgeMs: now.Sub(h.started).Milliseconds()}
 	if reply.Given {
-		more := min(max(membership.LegacyMoratoriumDuration, time.Duration(a.ForMs)*time.Millisecond), membership.MoratoriumDuration)
-		h.granted[a.Caller] = h.granted[a.Caller].Extend(now, more)
+		duration := min(max(membership.LegacyMoratoriumDuration, time.Duration(a.ForMs)*time.Millisecond), membership.MoratoriumDuration)
+		h.granted[a.Caller] = h.granted[a.Caller].Extend(now, duration)
 	}
-	// The request was under way for no longer than its caller waits.
-	behind := min(max(0, time.Duration(a.SinceMs)*time.Millisecond), mostSince)
-	since := now.Add(-config.Surely(behind) - membership.RequestTimeout)
+	// The request was in flight for at most the time that its caller waits for the reply.
+	watermarkAge := min(max(0, time.Duration(a.SinceMs)*time.Millisecond), maxWatermarkAge)
+	since := now.Add(-config.Surely(watermarkAge) - membership.RequestTimeout)
 	var complete bool
 	reply.Cancelled, complete = h.cancelled.Since(since)
 	reply.Whole = complete && a.SinceMs > 0
@@ -174,104 +179,105 @@
 	return reply
 }
 
-// mayTakeOver tells whether this process may take slots that the named controller holds.
+// mayTakeOver reports whether this process may take over slots of the named holder.
 func (h *Holder) mayTakeOver(holder string) bool {
 	now := time.Now()
 	return holder == "" || holder == h.cfg.Name || membership.MayTakeOver(h.boundUntil, h.granted[holder].Until, now)
 }
 
-// entitled tells whether this holder is surely the only one entitled to its workers.
+// entitled reports whether this holder is certainly the only controller entitled to its workers.
 func (h *Holder) entitled() bool { return h.session.Valid() || time.Now().Before(h.moratoriumUntil) }
 
-// mayAnswer tells whether reports may be answered: nobody else may, and nothing that an answer
-// renews outlives a cancellation.
+// mayAnswer reports whether reports may be answered: no other controller may answer them, and no task that an
+// answer renews can outlive its cancellation.
 func (h *Holder) mayAnswer() bool {
 	return h.entitled() && membership.MayRenew(h.watermark.Time(), h.cfg.RenewFor(), time.Now())
 }
 
-// mayConfirm tells whether users may be told that a job is cancelled, as this controller now
-// knows.
+// mayConfirm records that a job is cancelled, and reports whether moratoria permit confirming the
+// cancellation to users.
 func (h *Holder) mayConfirm(job string) bool {
 	now := time.Now()
 	h.cancelled.Learn(job, now)
 	return membership.MayConfirm(h.cancelled.KnownSince(job), h.boundUntil, h.granted, now)
 }
 
-// requestMoratorium asks all siblings for a moratorium while the session is about to be no longer
-// sure, or is not, and for their cancellations also while the watermark lies back.
+// requestMoratorium requests a moratorium of all siblings while the session is near its end or may have
+// ended. It also requests their cancellation reports while the watermark lags.
 func (h *Holder) requestMoratorium(now time.Time) {
-	behind := now.Sub(h.watermark.Time())
+	watermarkAge := now.Sub(h.watermark.Time())
 	ending := h.session.Left() <= min(membership.RequestThreshold, h.cfg.SessionTTL()/3)
-	if !ending && behind < h.cfg.RenewFor()/3 || !h.mayRequest(now) {
+	if !ending && watermarkAge < h.cfg.RenewFor()/3 || !h.mayRequestMoratorium(now) {
 		return
 	}
-	supported, lasts := h.moratoriumSupport()
+	supported, duration := h.moratoriumSupport()
 	h.requestingMoratorium, h.moratoriumRequested = true, now
-	args := PromiseArgs{Caller: h.cfg.Name, Term: h.session.Term(), ForMs: lasts.Milliseconds(), SinceMs: behind.Milliseconds() + 1}
+	args := PromiseArgs{Caller: h.cfg.Name, Term: h.session.Term(), ForMs: duration.Milliseconds(), SinceMs: watermarkAge.Milliseconds() + 1}
 	go func() {
-		replies := h.askMoratorium(args)
+		replies := h.sendMoratoriumRequests(args)
 		h.tell(func() {
 			h.requestingMoratorium = false
 			grantedByAll := ending && supported
 			for k, reply := range replies {
 				grantedByAll = grantedByAll && reply.Given
-				h.observeReport(h.cfg.Siblings[k].Name, &reply, now, lasts)
+				h.observeCancellationReport(h.cfg.Siblings[k].Name, &reply, now, duration)
 			}
-			h.extendEntitlement(args.Term, now, grantedByAll, lasts)
+			h.extendEntitlement(args.Term, now, grantedByAll, duration)
 		})
 	}()
 }
 
-// mayRequest tells whether moratoria may be requested now, whatever for.
-func (h *Holder) mayRequest(now time.Time) bool {
+// mayRequestMoratorium reports whether a request for moratoria or reports may be sent now.
+func (h *Holder) mayRequestMoratorium(now time.Time) bool {
 	return !h.requestingMoratorium && len(h.moratoriumPeers) > 0 && now.Sub(h.moratoriumRequested) >= membership.RequestInterval &&
 		!h.watermark.RecordsThrough.IsZero() && h.entitled()
 }
 
-// moratoriumSupport tells whether the versions of all siblings know moratoria, and how long one
-// lasts that all of them grant. A sibling that is not there may come back as it was before an
-// upgrade, and would not wait.
-func (h *Holder) moratoriumSupport() (supported bool, lasts time.Duration) {
-	supported, lasts = true, membership.MoratoriumDuration
+// moratoriumSupport reports whether the versions of all siblings support moratoria, and the longest duration
+// that all of them grant. A sibling that is away may return in the version before an upgrade, which would not
+// wait for the moratorium to end.
+func (h *Holder) moratoriumSupport() (supported bool, duration time.Duration) {
+	supported, duration = true, membership.MoratoriumDuration
 	for _, sibling := range h.cfg.Siblings {
 		member := h.members[sibling.Name]
 		if member == nil || member.Generation < bookkeeping.GenerationPromises {
 			supported = false
 		}
 		if member == nil || member.Generation < bookkeeping.GenerationLonger {
-			lasts = membership.LegacyMoratoriumDuration
+			duration = membership.LegacyMoratoriumDuration
 		}
 	}
-	return supported, lasts
+	return supported, duration
 }
 
-// askMoratorium asks all siblings at once; one that does not answer grants and reports nothing.
-func (h *Holder) askMoratorium(args PromiseArgs) []PromiseReply {
+// sendMoratoriumRequests calls all siblings concurrently. The reply of a sibling that does not answer is empty:
+// it grants and reports nothing.
+func (h *Holder) sendMoratoriumRequests(args PromiseArgs) []PromiseReply {
 	replies := make([]PromiseReply, len(h.moratoriumPeers))
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for k, peer := range h.moratoriumPeers {
-		all.Go(func() {
+		calls.Go(func() {
 			if err := peer.Promise(h.ctx, args, &replies[k]); err != nil {
-				slog.Debug("no promise", "err", err)
+				slog.Debug("moratorium request failed", "err", err)
 				replies[k] = PromiseReply{}
 			}
 		})
 	}
-	all.Wait()
+	calls.Wait()
 	return replies
 }
 
-// observeReport takes in which cancellations a sibling knows that was asked at a time. (They are
-// never unlearnt, so that the report means what it says whatever became of the session since.)
-func (h *Holder) observeReport(name string, r *PromiseReply, asked time.Time, lasts time.Duration) {
+// observeCancellationReport applies a sibling's report of cancellations, which was requested at requestedAt. A
+// known cancellation remains valid, so the report counts even if the session has changed since the request.
+func (h *Holder) observeCancellationReport(name string, r *PromiseReply, requestedAt time.Time, duration time.Duration) {
 	now := time.Now()
 	h.learnCancelled(r.Cancelled, now)
-	h.watermark.ObserveReport(name, r.report(lasts), asked, now)
+	h.watermark.ObserveReport(name, r.cancellationReport(duration), requestedAt, now)
 }
 
-// extendEntitlement takes in whether all siblings granted the moratorium that was requested at a
-// time, for so long.
-func (h *Holder) extendEntitlement(term uint64, requested time.Time, grantedByAll bool, lasts time.Duration) {
+// extendEntitlement extends this holder's entitlement if all siblings granted the moratorium of the given
+// duration that was requested at requestedAt in the session with the given term.
+func (h *Holder) extendEntitlement(term uint64, requestedAt time.Time, grantedByAll bool, duration time.Duration) {
 	if h.session.Term() != term {
 		return
 	}
@@ -280,7 +286,7 @@
 	if h.moratoriumUntil.After(until) {
 		until = h.moratoriumUntil
 	}
-	extended := membership.ExtendEntitlement(until, requested, grantedByAll, config.SurelyWithin(lasts), now)
+	extended := membership.ExtendEntitlement(until, requestedAt, grantedByAll, config.SurelyWithin(duration), now)
 	if !extended.After(until) {
 		return
 	}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -9,34 +9,33 @@
 	"daledyke/internal/protocol"
 )
 
-// Whether workers can reach this controller: one that has lost them gives its slots up to others.
+// This file detects whether workers can reach this controller. A controller that they cannot reach gives up its
+// slots to others.
 
-// probeEvery is how often a controller that lost its workers tries whether
-// they can be reached again; longestUnreachable is when it asks for workers all the
-// same, since those it knew may be gone.
+// probeInterval is how often a controller that its workers cannot reach checks whether they are reachable again.
+// After maxUnreachable it requests workers regardless, since those that it knew may be gone.
 const (
-	probeEvery         = 5 * time.Second
-	longestUnreachable = 4 * time.Minute
+	probeInterval  = 5 * time.Second
+	maxUnreachable = 4 * time.Minute
 )
 
-// listen finds out whether workers can still reach this controller. One that
-// has lost them alone would let their leases run out, all the while answering
-// to the state service and its siblings as if nothing were wrong.
-func (h *Holder) listen(now time.Time) {
+// checkReachability checks whether workers can still reach this controller. A controller that has lost only its
+// connections to workers would let their leases expire while the state service and its siblings see no fault.
+func (h *Holder) checkReachability(now time.Time) {
 	if !h.mayAnswer() {
 		h.invalid = now
 	}
-	// Workers that were answered 503 for want of a session have tried others
-	// meanwhile: once, an outage of the state service had all controllers call
-	// themselves deaf together, and their slots change hands.
+	// Workers that received 503 while this holder could not answer have tried other controllers. Without
+	// this delay, an outage of the state service made all controllers declare themselves unreachable at the
+	// same time and move their slots.
 	if h.session.WorkersUnreachable() || now.Sub(h.invalid) < h.cfg.ReportEvery()*3 {
 		return
 	}
-	total, quiet := 0, 0
+	total, silent := 0, 0
 	for _, s := range h.slots {
 		total += len(s.awaited)
 		if now.Sub(s.adopted) > h.unresponsiveAfter() {
-			quiet += len(s.awaited)
+			silent += len(s.awaited)
 		}
 	}
 	var addrs []string
@@ -46,44 +45,45 @@
 		}
 		total++
 		if now.Sub(w.lastHeard) > h.cfg.ReportEvery()*5/3 && now.Sub(w.slot.adopted) > h.cfg.ReportEvery()*3 {
-			quiet++
+			silent++
 			addrs = append(addrs, w.addr)
 		}
 	}
-	// They report elsewhere, or can't be reached themselves: else it is they who reach nobody,
-	// and handing them over helps none. (Once all controllers took themselves for deaf together,
-	// and all slots changed hands, as often as machines had been mute for a moment.)
-	elsewhere := now.Sub(h.reportedElsewhereAt) < h.misroutedRecently()
-	if total < 3 || 3*quiet <= 2*total || h.probing || !elsewhere && len(addrs) == 0 {
+	// This controller is at fault only if its machines report to another controller or cannot be reached
+	// from here. Otherwise the machines reach no controller, and moving their slots does not help. Without
+	// this check, whenever machines briefly could not send, all controllers declared themselves unreachable
+	// and all slots moved.
+	reportedElsewhere := now.Sub(h.reportedElsewhereAt) < h.misroutedMaxAge()
+	if total < 3 || 3*silent <= 2*total || h.probing || !reportedElsewhere && len(addrs) == 0 {
 		return
 	}
 	h.probing = true
 	go func() {
-		if !elsewhere && h.reachable(addrs) {
-			slog.Info("machines can't reach any controller", "silent", quiet, "of", total)
-			pause(h.ctx, probeEvery)
+		if !reportedElsewhere && h.anyReachable(addrs) {
+			slog.Info("machines can't reach any controller", "silent", silent, "of", total)
+			pause(h.ctx, probeInterval)
 			h.tell(func() { h.probing = false })
 			return
 		}
-		slog.Info("workers can't reach this controller", "silent", quiet, "of", total)
-		h.awaitWorkers(addrs, now.Add(longestUnreachable))
+		slog.Info("workers can't reach this controller", "silent", silent, "of", total)
+		h.declareUnreachable(addrs, now.Add(maxUnreachable))
 		h.tell(func() { h.probing = false })
 	}()
 }
 
-// awaitWorkers has the others take over while workers can't reach this controller, until one of them
-// answers again or the time is over. What the record says of it is written again until it is known to be
-// there: once the answer was lost, and the record went on saying that no worker can reach a controller
-// which had forgotten that it had said so, for as long as its session lived.
-func (h *Holder) awaitWorkers(addrs []string, until time.Time) {
-	told := h.session.SetWorkersUnreachable(h.ctx, true)
-	for h.ctx.Err() == nil && time.Now().Before(until) {
-		pause(h.ctx, probeEvery)
+// declareUnreachable records that workers cannot reach this controller, so that other controllers take over its
+// slots, until a worker answers again or the deadline passes. Each write to the record is repeated until it is
+// confirmed. Without the repetition, a lost reply left the record marking the controller as unreachable for the
+// rest of its session although the controller no longer considered itself so.
+func (h *Holder) declareUnreachable(addrs []string, deadline time.Time) {
+	err := h.session.SetWorkersUnreachable(h.ctx, true)
+	for h.ctx.Err() == nil && time.Now().Before(deadline) {
+		pause(h.ctx, probeInterval)
 		if len(addrs) > 0 && h.workers.Reachable(h.ctx, addrs[rand.IntN(len(addrs))]) {
 			break
 		}
-		if told != nil {
-			told = h.session.SetWorkersUnreachable(h.ctx, true)
+		if err != nil {
+			err = h.session.SetWorkersUnreachable(h.ctx, true)
 		}
 	}
 	for h.ctx.Err() == nil && h.session.SetWorkersUnreachable(h.ctx, false) != nil {
@@ -91,48 +91,49 @@
 	}
 }
 
-// mostAsked is how many of the machines that went silent are asked whether they can be reached.
-const mostAsked = 3
+// maxProbed is how many of the silent machines are probed.
+const maxProbed = 3
 
-// reachable tells whether any of some machines, drawn by chance, answers a direct request.
-func (h *Holder) reachable(addrs []string) bool {
-	answers := make(chan bool, mostAsked)
-	asked := min(mostAsked, len(addrs))
-	for _, k := range rand.Perm(len(addrs))[:asked] {
+// anyReachable reports whether any of up to maxProbed randomly drawn machines answers a direct request.
+func (h *Holder) anyReachable(addrs []string) bool {
+	answers := make(chan bool, maxProbed)
+	probed := min(maxProbed, len(addrs))
+	for _, k := range rand.Perm(len(addrs))[:probed] {
 		go func() { answers <- h.workers.Reachable(h.ctx, addrs[k]) }()
 	}
 	reached := false
-	for range asked {
+	for range probed {
 		reached = <-answers || reached
 	}
 	return reached
 }
 
-// misroutedReport is a report that came here though another holds its machine.
+// misroutedReport is a report that this controller received although another controller holds its machine.
 type misroutedReport struct {
 	board.Stray
 	at time.Time
 }
 
-// misroutedRecently is for how long a misrouted report says something of whom its machine can reach.
-func (h *Holder) misroutedRecently() time.Duration { return 2 * h.cfg.ReportEvery() }
+// misroutedMaxAge is how long a misrouted report counts as evidence of which controllers its machine can reach.
+func (h *Holder) misroutedMaxAge() time.Duration { return 2 * h.cfg.ReportEvery() }
 
-// noteMisrouted takes in what a sibling says of this holder's machines that reported to it. Only what
-// was not heard here says something: copies of old reports go anywhere.
-func (h *Holder) noteMisrouted(n board.Stray, told bool, heard time.Time) {
-	if !told {
-		h.reportedElsewhereAt = heard // the version before doesn't tell: as if they did
+// noteMisrouted handles a sibling's notice of a report that it received from a machine of this holder. Only a
+// report newer than those received here is evidence, because copies of old reports may arrive at any controller.
+// detailed tells whether the notice describes the report.
+func (h *Holder) noteMisrouted(stray board.Stray, detailed bool, receivedAt time.Time) {
+	if !detailed {
+		h.reportedElsewhereAt = receivedAt // the previous version sends no details: assume a newer report
 		return
 	}
-	s := h.slots[h.slotOf(n.Machine)]
-	if n.Machine == "" || s == nil {
+	s := h.slots[h.slotOf(stray.Machine)]
+	if stray.Machine == "" || s == nil {
 		return
 	}
-	rep := protocol.Report{Session: n.Session, Ticket: n.Ticket}
-	if w := h.byID[n.Machine]; w != nil && !rep.Newer(w.session, w.ticket) {
+	report := protocol.Report{Session: stray.Session, Ticket: stray.Ticket}
+	if w := h.byID[stray.Machine]; w != nil && !report.Newer(w.session, w.ticket) {
 		return
 	}
-	if at := heard.Add(-time.Duration(n.AgoMs) * time.Millisecond); at.After(s.adopted) && at.After(h.reportedElsewhereAt) {
+	if at := receivedAt.Add(-time.Duration(stray.AgoMs) * time.Millisecond); at.After(s.adopted) && at.After(h.reportedElsewhereAt) {
 		h.reportedElsewhereAt = at
 	}
 }
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -81,7 +81,7 @@
 		over := *h.jobs["wk-1"]
 		over.Record, over.State = protocol.Cancelled, protocol.Cancelled
 		h.jobChanged(&over)
-		h.observeReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumDuration)
+		h.observeCancellationReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumDuration)
 		status, body := h.Report(running(6, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
 		got := stopped(body)
 		slices.Sort(got)
@@ -188,22 +188,22 @@
 			t.Fatal(err)
 		}
 	}
-	if args.Caller != "c1" || args.Term != 7 || !reply.Given || reply.report(membership.LegacyMoratoriumDuration).Complete || !older.Given {
+	if args.Caller != "c1" || args.Term != 7 || !reply.Given || reply.cancellationReport(membership.LegacyMoratoriumDuration).Complete || !older.Given {
 		t.Errorf("%+v %+v %+v", args, reply, older)
 	}
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		for _, since := range []int64{0, -5, -1 << 62} { // of the version before, and senseless ones
-			if r := h.grantMoratorium(&PromiseArgs{Caller: "c1", SinceMs: since}); r.Whole {
+			if r := h.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: since}); r.Whole {
 				t.Errorf("since %d: %+v", since, r)
 			}
 		}
 		// What was put away before it followed the records it can't name, whatever is asked.
-		if r := h.grantMoratorium(&PromiseArgs{Caller: "c1", SinceMs: 1 << 62}); !r.Whole || r.AgeMs < 0 || r.SyncedMs != 0 {
+		if r := h.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: 1 << 62}); !r.Whole || r.AgeMs < 0 || r.SyncedMs != 0 {
 			t.Errorf("since ever: %+v", r)
 		}
 		time.Sleep(5 * time.Second)
 		h.synced(time.Now())
-		if r := h.grantMoratorium(&PromiseArgs{Caller: "c1", SinceMs: 1000}); !r.Whole || r.SyncedMs <= 0 {
+		if r := h.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: 1000}); !r.Whole || r.SyncedMs <= 0 {
 			t.Errorf("since it follows the records: %+v", r)
 		}
 	})
@@ -228,7 +228,7 @@
 		} {
 			young := NewHolder(h.ctx, c, h.session, nil, h.workers)
 			young.moratoriumPeers = x.siblings
-			go young.learnOutstanding()
+			go young.learnOutstandingGrants()
 			began := time.Now()
 			if young.mayTakeOver("c1") || young.mayConfirm("wk-1") {
 				t.Errorf("%s: it is not bound at its start", name)
@@ -257,7 +257,7 @@
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, _ *heldSlot) {
 		s := NewHolder(h.ctx, c, h.session, nil, h.workers)
 		synced := func(since time.Duration) int64 {
-			r := s.grantMoratorium(&PromiseArgs{Caller: "c1", SinceMs: since.Milliseconds()})
+			r := s.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: since.Milliseconds()})
 			if !r.Whole {
 				t.Errorf("what it knows itself it names: %+v", r)
 			}
