--- a/internal/coordination/cancelled_test.go
+++ b/internal/coordination/cancelled_test.go
@@ -20,63 +20,61 @@
 )
 
 const (
-	troubledMachine = "host-000004"
-	// liveStep is the step of time in which the machine lives, changedAfter how soon it reports a
-	// change.
-	liveStep     = 250 * time.Millisecond
-	changedAfter = 500 * time.Millisecond
-	// mostTroubles is how many troubles one machine has in turn.
-	mostTroubles = 60
+	faultyMachine = "host-000004"
+	// timeStep is the time step of the simulation. changeReportDelay is how soon the machine reports a change.
+	timeStep          = 250 * time.Millisecond
+	changeReportDelay = 500 * time.Millisecond
+	// eventsPerRun is the number of events in one simulation.
+	eventsPerRun = 60
 )
 
-// heldCommand is a direct command that is carried out once it is due and its machine doesn't hang.
-type heldCommand struct {
+// delayedOrders are direct commands that are carried out once they are due and the machine does not hang.
+type delayedOrders struct {
 	due    time.Time
 	orders protocol.Orders
 }
 
-// troubledWorker is a machine by the protocol, on which tasks of several jobs run, that hangs, hears
-// nothing, and to which direct commands come late. Whatever happens to it, its tasks are gone
-// once its lease is over.
-type troubledWorker struct {
-	session, ticket uint64
-	token           protocol.Token
-	renewed         time.Time
-	tasks           map[string]*protocol.TaskReport
-	hung, deaf      bool
-	holdFor         time.Duration // by so much are direct commands held up
-	held            []heldCommand
-	next            time.Time // of its reports
-	// calls are direct commands that arrive, which the test's goroutine takes in.
+// faultyWorker is a machine that follows the protocol and runs tasks of several jobs. It may hang, receive no
+// messages, or receive direct commands late. In all cases its tasks end once its lease expires.
+type faultyWorker struct {
+	session, ticket   uint64
+	token             protocol.Token
+	renewedAt         time.Time
+	tasks             map[string]*protocol.TaskReport
+	hung, unreachable bool
+	orderDelay        time.Duration // delay of direct commands
+	delayed           []delayedOrders
+	nextReport        time.Time // when it next reports
+	// calls contains a handler for each arriving direct command, which the test's goroutine runs.
 	calls chan func()
-	// wronged is a task that an answer started though its holder knew that it was not to be.
-	wronged string
+	// wrongStart is a task that an answer started although its holder knew that the job is cancelled.
+	wrongStart string
 }
 
-func newTroubledWorker() *troubledWorker {
-	return &troubledWorker{session: 1, renewed: time.Now(), tasks: map[string]*protocol.TaskReport{}, calls: make(chan func(), 16)}
+func newFaultyWorker() *faultyWorker {
+	return &faultyWorker{session: 1, renewedAt: time.Now(), tasks: map[string]*protocol.TaskReport{}, calls: make(chan func(), 16)}
 }
 
-func (m *troubledWorker) snapshot() *protocol.Report {
+func (m *faultyWorker) snapshot() *protocol.Report {
 	m.ticket++
-	rep := report(m.session, m.ticket, m.token)
+	r := report(m.session, m.ticket, m.token)
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-		rep.Tasks = append(rep.Tasks, *m.tasks[name])
+		r.Tasks = append(r.Tasks, *m.tasks[name])
 	}
-	return rep
+	return r
 }
 
-// running are the jobs of which a task is there.
-func (m *troubledWorker) running() (jobs []string) {
+// runningJobs returns the job of each task that has not exited.
+func (m *faultyWorker) runningJobs() (jobs []string) {
 	for name, task := range m.tasks {
-		if id, _, _ := protocol.SplitTask(name); task.State != protocol.TaskExited {
-			jobs = append(jobs, id)
+		if job, _, _ := protocol.SplitTask(name); task.State != protocol.TaskExited {
+			jobs = append(jobs, job)
 		}
 	}
 	return jobs
 }
 
-func (m *troubledWorker) execute(commands []protocol.Command) {
+func (m *faultyWorker) execute(commands []protocol.Command) {
 	for _, c := range commands {
 		task := m.tasks[c.Task]
 		switch {
@@ -89,160 +87,161 @@
 			delete(m.tasks, c.Task)
 		}
 	}
-	if soon := time.Now().Add(changedAfter); len(commands) > 0 && soon.Before(m.next) {
-		m.next = soon
+	if reportAt := time.Now().Add(changeReportDelay); len(commands) > 0 && reportAt.Before(m.nextReport) {
+		m.nextReport = reportAt
 	}
 }
 
-// obey carries out a direct command if its token and session still count.
-func (m *troubledWorker) obey(o protocol.Orders) bool {
-	if o.Token < m.token || o.Session != m.session {
+// executeOrders carries out a direct command unless its token or session is stale.
+func (m *faultyWorker) executeOrders(orders protocol.Orders) bool {
+	if orders.Token < m.token || orders.Session != m.session {
 		return false
 	}
-	m.token = o.Token
-	m.execute(o.Commands)
+	m.token = orders.Token
+	m.execute(orders.Commands)
 	return true
 }
 
-// live lets the lease lapse, carries out what was held up, and reports when it is time.
-func (m *troubledWorker) live(h *Holder, lease, every time.Duration) {
+// advance ends the tasks if the lease has expired, carries out delayed commands that are due, and sends a
+// report if one is due.
+func (m *faultyWorker) advance(h *Holder, lease, reportEvery time.Duration) {
 	now := time.Now()
-	if now.Sub(m.renewed) > lease {
+	if now.Sub(m.renewedAt) > lease {
 		clear(m.tasks)
-		m.session, m.renewed, m.next = m.session+1, now, now
+		m.session, m.renewedAt, m.nextReport = m.session+1, now, now
 	}
 	if m.hung {
 		return
 	}
-	var waiting []heldCommand
-	for _, held := range m.held {
-		if now.Before(held.due) {
-			waiting = append(waiting, held)
+	var waiting []delayedOrders
+	for _, d := range m.delayed {
+		if now.Before(d.due) {
+			waiting = append(waiting, d)
 		} else {
-			m.obey(held.orders)
+			m.executeOrders(d.orders)
 		}
 	}
-	m.held = waiting
-	if now.Before(m.next) {
+	m.delayed = waiting
+	if now.Before(m.nextReport) {
 		return
 	}
-	m.next = now.Add(every)
+	m.nextReport = now.Add(reportEvery)
 	status, body := h.Report(m.snapshot())
 	answer, _ := body.(protocol.ReportAnswer)
-	if m.deaf || status != http.StatusOK || answer.Token < m.token {
+	if m.unreachable || status != http.StatusOK || answer.Token < m.token {
 		return
 	}
-	m.token, m.renewed = answer.Token, now
+	m.token, m.renewedAt = answer.Token, now
 	for _, c := range answer.Commands {
-		if id, _, _ := protocol.SplitTask(c.Task); c.Verb == protocol.VerbStart && h.over(id) {
-			m.wronged = c.Task
+		if job, _, _ := protocol.SplitTask(c.Task); c.Verb == protocol.VerbStart && h.over(job) {
+			m.wrongStart = c.Task
 		}
 	}
 	m.execute(answer.Commands)
 }
 
-// do serves direct commands.
-func (m *troubledWorker) do(w http.ResponseWriter, r *http.Request) {
-	var o protocol.Orders
-	if json.NewDecoder(r.Body).Decode(&o) != nil {
+// serveOrders handles direct commands over HTTP.
+func (m *faultyWorker) serveOrders(w http.ResponseWriter, r *http.Request) {
+	var orders protocol.Orders
+	if json.NewDecoder(r.Body).Decode(&orders) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	var rep *protocol.Report // nil: no answer
+	var reply *protocol.Report // nil: no reply
 	status := http.StatusOK
 	done := make(chan struct{})
 	m.calls <- func() {
 		defer close(done)
 		switch {
-		case m.deaf:
-		case m.hung || m.holdFor > 0:
-			m.held = append(m.held, heldCommand{time.Now().Add(m.holdFor), o})
+		case m.unreachable:
+		case m.hung || m.orderDelay > 0:
+			m.delayed = append(m.delayed, delayedOrders{time.Now().Add(m.orderDelay), orders})
 		default:
-			if !m.obey(o) {
+			if !m.executeOrders(orders) {
 				status = http.StatusConflict
 			}
-			rep = m.snapshot()
+			reply = m.snapshot()
 		}
 	}
 	select {
 	case <-done:
-	case <-r.Context().Done(): // the test is over
+	case <-r.Context().Done(): // the test has ended
 		panic(http.ErrAbortHandler)
 	}
-	if rep == nil {
+	if reply == nil {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(rep)
+	json.NewEncoder(w).Encode(reply)
 }
 
-// cancelWorld is such a machine, the holder that it has now, and jobs that users cancel at
-// other controllers, which don't announce it.
-type cancelWorld struct {
-	ctx  context.Context
-	c    *config.Config
-	dial transport.Dialer
-	m    *troubledWorker
-	h    *Holder
-	term uint64
-	// jobs are all there are; told is when users were told that one is cancelled, which is recorded
+// cancelSimulation consists of a faulty machine, its present holder, and jobs that users cancel at other
+// controllers, which do not announce the cancellations.
+type cancelSimulation struct {
+	ctx    context.Context
+	c      *config.Config
+	dial   transport.Dialer
+	worker *faultyWorker
+	holder *Holder
+	term   uint64
+	// jobs are all jobs; toldAt is when users were told that a job is cancelled. The cancellation is recorded
 	// by then.
-	jobs []string
-	told map[string]time.Time
-	// readTo is up to when the records are read, unless they lag: then it stays.
-	readTo time.Time
-	lags   bool
-	asks   protocol.Token
-	// longest is for how long a task remained after its user was told.
-	longest time.Duration
+	jobs   []string
+	toldAt map[string]time.Time
+	// recordsAsOf is the time up to which the holder has read the records; it does not advance while they lag.
+	recordsAsOf time.Time
+	recordsLag  bool
+	lastToken   protocol.Token
+	// longestRemaining is the longest time for which a task remained after its user was told.
+	longestRemaining time.Duration
 }
 
-// take has a holder take the machine's slot that knows what is in the records that are read.
-func (w *cancelWorld) take() {
+// takeOver replaces the holder of the machine's slot by a new one that knows only the records read so far.
+func (w *cancelSimulation) takeOver() {
 	w.term++
-	w.h, _ = holderOf(w.ctx, w.c, w.dial, w.term, troubledMachine)
-	w.h.syncedAt = time.Time{}
-	w.h.watermark = membership.NewWatermark(nil)
-	w.h.types["small"] = protocol.MachineType{Name: "small", Cores: 8, RAM: 64}
-	w.h.obey(&bookkeeping.Window{Number: 1, Owners: []string{w.c.Name}, Assignment: []string{w.c.Name}})
+	w.holder, _ = holderOf(w.ctx, w.c, w.dial, w.term, faultyMachine)
+	w.holder.syncedAt = time.Time{}
+	w.holder.watermark = membership.NewWatermark(nil)
+	w.holder.types["small"] = protocol.MachineType{Name: "small", Cores: 8, RAM: 64}
+	w.holder.obey(&bookkeeping.Window{Number: 1, Owners: []string{w.c.Name}, Assignment: []string{w.c.Name}})
 	for _, id := range w.jobs {
-		w.h.jobChanged(pendingJob(id))
+		w.holder.jobChanged(pendingJob(id))
 	}
-	w.read()
+	w.readRecords()
 }
 
-// read has the holder read the records, up to now if they don't lag.
-func (w *cancelWorld) read() {
-	if !w.lags {
-		w.readTo = time.Now()
+// readRecords makes the holder read the records, up to the present unless they lag.
+func (w *cancelSimulation) readRecords() {
+	if !w.recordsLag {
+		w.recordsAsOf = time.Now()
 	}
-	for id, at := range w.told {
-		if !at.After(w.readTo) {
-			over := pendingJob(id)
-			over.Record, over.State = protocol.Cancelled, protocol.Cancelled
-			w.h.jobChanged(over)
+	for id, at := range w.toldAt {
+		if !at.After(w.recordsAsOf) {
+			cancelled := pendingJob(id)
+			cancelled.Record, cancelled.State = protocol.Cancelled, protocol.Cancelled
+			w.holder.jobChanged(cancelled)
 		}
 	}
-	w.h.synced(w.readTo)
+	w.holder.synced(w.recordsAsOf)
 }
 
-// live lets time pass; it tells which job still runs though it had to be gone, "" if none.
-func (w *cancelWorld) live(d time.Duration) (late string) {
-	within := protocol.Seconds(w.c.Deployment.Workers.CancelS)
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(liveStep) {
-		w.read()
-		w.m.live(w.h, w.c.WorkerLease(), w.c.ReportEvery())
-		for synctest.Wait(); len(w.m.calls) > 0; synctest.Wait() {
-			(<-w.m.calls)()
+// advance lets time pass and returns a job that still runs after its cancellation deadline, "" if there is none.
+func (w *cancelSimulation) advance(d time.Duration) (late string) {
+	deadline := protocol.Seconds(w.c.Deployment.Workers.CancelS)
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(timeStep) {
+		w.readRecords()
+		w.worker.advance(w.holder, w.c.WorkerLease(), w.c.ReportEvery())
+		for synctest.Wait(); len(w.worker.calls) > 0; synctest.Wait() {
+			(<-w.worker.calls)()
 		}
-		for len(w.h.inbox) > 0 {
-			(<-w.h.inbox)()
+		for len(w.holder.inbox) > 0 {
+			(<-w.holder.inbox)()
 		}
-		w.h.tick()
-		for _, id := range w.m.running() {
-			if at, cancelled := w.told[id]; cancelled {
-				w.longest = max(w.longest, time.Since(at))
-				if time.Since(at) > within {
+		w.holder.tick()
+		for _, id := range w.worker.runningJobs() {
+			if at, cancelled := w.toldAt[id]; cancelled {
+				w.longestRemaining = max(w.longestRemaining, time.Since(at))
+				if time.Since(at) > deadline {
 					return id
 				}
 			}
@@ -251,19 +250,19 @@
 	return ""
 }
 
-// ask has an owner that knows of no cancellation ask for a task; it tells whether it was admitted.
-func (w *cancelWorld) ask(job string, attempt uint64) bool {
-	w.asks++
-	a := &AskArgs{Caller: w.c.Name, ID: w.asks, Window: 1, Starts: []Start{{Task: protocol.TaskName(job, 0), Attempt: attempt, Machine: troubledMachine}}}
-	reply, ok := w.h.serve(a)
+// requestStart makes an owner that knows of no cancellation request the start of a task; it reports whether the
+// holder admitted the start.
+func (w *cancelSimulation) requestStart(job string, attempt uint64) bool {
+	w.lastToken++
+	a := &AskArgs{Caller: w.c.Name, ID: w.lastToken, Window: 1, Starts: []Start{{Task: protocol.TaskName(job, 0), Attempt: attempt, Machine: faultyMachine}}}
+	reply, ok := w.holder.serve(a)
 	return ok && reply.Refused[0] == ""
 }
 
-// Whatever comes of a machine that hangs, hears nothing, gets direct commands late and takes in what
-// was held up, of holders that follow each other and of records that lag: no task of a job is there
-// once it is to be gone, however late its owner asked for it. And once all is well what is not
-// cancelled is started.
-func TestNoCancelledTaskRunsOn(t *testing.T) {
+// No task of a cancelled job exists after its deadline, no matter how late its owner requested the task, while
+// the machine hangs, receives nothing, or receives direct commands late, holders replace each other, and records
+// lag. Once all faults end, jobs that are not cancelled are started.
+func TestCancelledTasksEndInTime(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
 	if err != nil {
 		t.Fatal(err)
@@ -271,64 +270,64 @@
 	synctest.Test(t, func(t *testing.T) {
 		admitted, longest := 0, time.Duration(0)
 		rapid.Check(struct{ testing.TB }{t}, func(rt *rapid.T) {
-			m := newTroubledWorker()
-			ctx, dial, end := serveWorker(m.do)
+			machine := newFaultyWorker()
+			ctx, dial, end := serveWorker(machine.serveOrders)
 			defer end()
-			w := &cancelWorld{ctx: ctx, c: c, dial: dial, m: m, term: 1, jobs: []string{"wk-1", "wk-2", "wk-3"}, told: map[string]time.Time{}}
-			w.take()
+			w := &cancelSimulation{ctx: ctx, c: c, dial: dial, worker: machine, term: 1, jobs: []string{"wk-1", "wk-2", "wk-3"}, toldAt: map[string]time.Time{}}
+			w.takeOver()
 			attempt := uint64(0)
-			live := func(d time.Duration) {
-				late := w.live(d)
-				longest = max(longest, w.longest)
-				if m.wronged != "" {
-					rt.Fatalf("%s is started by who knows that it is cancelled", m.wronged)
+			advance := func(d time.Duration) {
+				late := w.advance(d)
+				longest = max(longest, w.longestRemaining)
+				if machine.wrongStart != "" {
+					rt.Fatalf("%s was started by a holder that knows that its job is cancelled", machine.wrongStart)
 				}
 				if late != "" {
-					rt.Fatalf("%s runs %v after its user was told, records read %v before: %+v, known as %+v", late, time.Since(w.told[late]), time.Since(w.readTo), m, w.h.byID[troubledMachine])
+					rt.Fatalf("%s runs %v after its user was told; records read %v ago; machine %+v, as known to its holder %+v", late, time.Since(w.toldAt[late]), time.Since(w.recordsAsOf), machine, w.holder.byID[faultyMachine])
 				}
 			}
-			live(5 * time.Second)
-			happens := map[string]func(){
+			advance(5 * time.Second)
+			events := map[string]func(){
 				"nothing": func() {},
 				"a job is cancelled": func() {
-					if id := rapid.SampledFrom(w.jobs).Draw(rt, "job"); w.told[id].IsZero() {
-						w.told[id] = time.Now()
+					if id := rapid.SampledFrom(w.jobs).Draw(rt, "job"); w.toldAt[id].IsZero() {
+						w.toldAt[id] = time.Now()
 					}
 				},
-				"a task is asked for": func() {
+				"a start is requested": func() {
 					attempt++
-					if w.ask(rapid.SampledFrom(w.jobs).Draw(rt, "job"), attempt) {
+					if w.requestStart(rapid.SampledFrom(w.jobs).Draw(rt, "job"), attempt) {
 						admitted++
 					}
 				},
-				"records lag":   func() { w.lags = rapid.Bool().Draw(rt, "lag") },
-				"it hangs":      func() { m.hung = rapid.Bool().Draw(rt, "hangs") },
-				"it goes deaf":  func() { m.deaf = rapid.Bool().Draw(rt, "deaf") },
-				"commands late": func() { m.holdFor = time.Duration(rapid.IntRange(0, 16).Draw(rt, "s")) * time.Second },
-				"another holds": func() { w.take() },
+				"records lag":               func() { w.recordsLag = rapid.Bool().Draw(rt, "lag") },
+				"machine hangs":             func() { machine.hung = rapid.Bool().Draw(rt, "hangs") },
+				"machine cannot receive":    func() { machine.unreachable = rapid.Bool().Draw(rt, "unreachable") },
+				"commands are delayed":      func() { machine.orderDelay = time.Duration(rapid.IntRange(0, 16).Draw(rt, "seconds")) * time.Second },
+				"another holder takes over": func() { w.takeOver() },
 			}
-			kinds := slices.Sorted(maps.Keys(happens))
-			for range mostTroubles {
-				happens[rapid.SampledFrom(kinds).Draw(rt, "what")]()
-				live(time.Duration(rapid.SampledFrom([]int{8, 1, 20, 3, 40, 12}).Draw(rt, "steps")) * liveStep)
+			names := slices.Sorted(maps.Keys(events))
+			for range eventsPerRun {
+				events[rapid.SampledFrom(names).Draw(rt, "event")]()
+				advance(time.Duration(rapid.SampledFrom([]int{8, 1, 20, 3, 40, 12}).Draw(rt, "steps")) * timeStep)
 			}
-			m.hung, m.deaf, m.holdFor, w.lags = false, false, 0, false
-			live(4 * c.WorkerLease())
+			machine.hung, machine.unreachable, machine.orderDelay, w.recordsLag = false, false, 0, false
+			advance(4 * c.WorkerLease())
 			for _, id := range w.jobs {
-				if attempt++; w.told[id].IsZero() && !slices.Contains(m.running(), id) && !w.ask(id, attempt) {
-					rt.Fatalf("%s is not cancelled, and can't be started: %+v", id, w.h.byID[troubledMachine])
+				if attempt++; w.toldAt[id].IsZero() && !slices.Contains(machine.runningJobs(), id) && !w.requestStart(id, attempt) {
+					rt.Fatalf("%s is not cancelled, but its start is refused: %+v", id, w.holder.byID[faultyMachine])
 				}
 			}
-			live(2 * c.ReportEvery())
+			advance(2 * c.ReportEvery())
 			for _, id := range w.jobs {
-				if w.told[id].IsZero() && !slices.Contains(m.running(), id) {
-					rt.Fatalf("%s was not started: %+v", id, w.h.byID[troubledMachine])
+				if w.toldAt[id].IsZero() && !slices.Contains(machine.runningJobs(), id) {
+					rt.Fatalf("%s is not cancelled, but was not started: %+v", id, w.holder.byID[faultyMachine])
 				}
 			}
 		})
-		t.Logf("%d starts were admitted; of cancelled jobs the last task was gone after %v", admitted, longest)
+		t.Logf("%d starts were admitted; the last task of a cancelled job ended after %v", admitted, longest)
 		if admitted == 0 || longest < c.WorkerLease() {
-			t.Error("nothing was tried")
+			t.Error("the simulation admitted no start, or no task of a cancelled job remained for a lease")
 		}
 	})
 }
--- a/internal/coordination/commands_test.go
+++ b/internal/coordination/commands_test.go
@@ -118,7 +118,7 @@
 func TestAnAnswerForgetsAndStops(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
-		rep := running(5, protocol.NewToken(7, 1), "wk-1/0", "wk-1/1", "wk-1/2")
+		rep := runningReport(5, protocol.NewToken(7, 1), "wk-1/0", "wk-1/1", "wk-1/2")
 		rep.Tasks[1].State, rep.Tasks[1].Cause = protocol.TaskExited, protocol.CauseError
 		rep.Tasks[2].State = protocol.TaskFlushing
 		h.Report(rep)
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -16,8 +16,8 @@
 	"daledyke/internal/protocol"
 )
 
-// running is a report of a machine on which tasks run.
-func running(ticket uint64, token protocol.Token, tasks ...string) *protocol.Report {
+// runningReport returns a machine's report that contains running tasks.
+func runningReport(ticket uint64, token protocol.Token, tasks ...string) *protocol.Report {
 	r := report(1, ticket, token)
 	for _, t := range tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t, Attempt: 3, State: protocol.TaskRunning})
@@ -29,8 +29,8 @@
 	return &bookkeeping.Job{Spec: &protocol.JobSpec{ID: id, Tasks: 4}, State: protocol.Pending}
 }
 
-// stopped are the tasks that an answer stops.
-func stopped(body any) (tasks []string) {
+// stoppedTasks returns the tasks that an answer stops.
+func stoppedTasks(body any) (tasks []string) {
 	a, _ := body.(protocol.ReportAnswer)
 	for _, c := range a.Commands {
 		if c.Verb == protocol.VerbStop && c.Attempt == 3 && *c.GraceS == 0 {
@@ -40,98 +40,99 @@
 	return tasks
 }
 
-// A holder whose session is renewed and whose records are not answers its machines for no
-// longer than what it renews surely ends before a cancellation that it has not heard of is due.
-func TestARenewedSessionIsNoProof(t *testing.T) {
+// A holder whose session is renewed but whose records are stale answers its machines only while every task that
+// it renews is certain to end within the deadline of a cancellation that it has not learned of.
+func TestSessionRenewalDoesNotAdvanceWatermark(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
-		last := time.Duration(0)
+		lastAnswered := time.Duration(0)
 		for n := range uint64(20) {
-			if status, _ := h.Report(running(5+n, protocol.NewToken(7, 1), "wk-1/0")); status == http.StatusOK {
-				last = time.Since(s.adopted)
+			if status, _ := h.Report(runningReport(5+n, protocol.NewToken(7, 1), "wk-1/0")); status == http.StatusOK {
+				lastAnswered = time.Since(s.adopted)
 			}
 			time.Sleep(2 * time.Second)
 		}
-		most := protocol.Seconds(c.Deployment.Workers.CancelS) - c.WorkerLease()
-		if last > most || last < most-3*time.Second {
-			t.Errorf("answered for %v of %v", last, most)
+		limit := protocol.Seconds(c.Deployment.Workers.CancelS) - c.WorkerLease()
+		if lastAnswered > limit || lastAnswered < limit-3*time.Second {
+			t.Errorf("answered for %v, limit %v", lastAnswered, limit)
 		}
 		h.synced(time.Now())
-		if status, _ := h.Report(running(90, protocol.NewToken(7, 1), "wk-1/0")); status != http.StatusOK {
-			t.Errorf("with fresh records: %d", status)
+		if status, _ := h.Report(runningReport(90, protocol.NewToken(7, 1), "wk-1/0")); status != http.StatusOK {
+			t.Errorf("status with fresh records: %d", status)
 		}
 	})
 }
 
-// An answer stops what is known to be cancelled, whether the report names it or it may have
-// started since; it has a token then that no start under way has. What runs on is left alone.
-func TestAnAnswerStopsWhatIsCancelled(t *testing.T) {
+// An answer stops all tasks of jobs known to be cancelled, including those that the report does not contain but
+// that a start in flight may have created. Its token is then newer than that of the start in flight. Other
+// running tasks are unaffected.
+func TestAnswerStopsCancelledTasks(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		for _, id := range []string{"wk-1", "wk-2", "wk-3"} {
 			h.jobs[id] = pendingJob(id)
 		}
-		_, body := h.Report(running(5, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
-		if got := stopped(body); len(got) > 0 {
-			t.Errorf("stops %v", got)
+		_, body := h.Report(runningReport(5, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
+		if got := stoppedTasks(body); len(got) > 0 {
+			t.Errorf("the answer stops %v, want none", got)
 		}
 		w := h.byID["host-000004"]
-		w.busy = true // a direct command is under way, and stays so
+		w.busy = true // a direct command stays in flight
 		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, token: protocol.NewToken(7, w.seq)}
-		under := protocol.NewToken(7, w.seq)
-		over := *h.jobs["wk-1"]
-		over.Record, over.State = protocol.Cancelled, protocol.Cancelled
-		h.jobChanged(&over)
+		inFlight := protocol.NewToken(7, w.seq)
+		cancelled := *h.jobs["wk-1"]
+		cancelled.Record, cancelled.State = protocol.Cancelled, protocol.Cancelled
+		h.jobChanged(&cancelled)
 		h.observeCancellationReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumDuration)
-		status, body := h.Report(running(6, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
-		got := stopped(body)
+		status, body := h.Report(runningReport(6, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
+		got := stoppedTasks(body)
 		slices.Sort(got)
-		if status != http.StatusOK || !slices.Equal(got, []string{"wk-1/0", "wk-3/1"}) || body.(protocol.ReportAnswer).Token <= under {
-			t.Errorf("%d stops %v under %+v, after %d", status, got, body, under)
+		if status != http.StatusOK || !slices.Equal(got, []string{"wk-1/0", "wk-3/1"}) || body.(protocol.ReportAnswer).Token <= inFlight {
+			t.Errorf("status %d, stopped %v, answer %+v, token in flight %d", status, got, body, inFlight)
 		}
-		// A job that is not known may be cancelled: nothing is renewed until it is looked up.
-		if status, _ := h.Report(running(7, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusServiceUnavailable {
-			t.Errorf("a task of a job that is not known: %d", status)
+		// An unknown job may be cancelled, so nothing is renewed until the job has been looked up.
+		if status, _ := h.Report(runningReport(7, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusServiceUnavailable {
+			t.Errorf("status for a task of an unknown job: %d", status)
 		}
 		h.jobChanged(pendingJob("wk-9"))
-		if status, _ := h.Report(running(8, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusOK {
-			t.Errorf("a task of a job that is known by now: %d", status)
+		if status, _ := h.Report(runningReport(8, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusOK {
+			t.Errorf("status for a task of a job that has been looked up: %d", status)
 		}
 	})
 }
 
-// sayer is a sibling that says what it is to say.
-type sayer struct {
-	reply PromiseReply
-	asked []PromiseArgs
-	owed  OwedReply
-	err   error // when it is asked what is owed to it
+// fakeMoratoriumSibling is a sibling that sends preset replies.
+type fakeMoratoriumSibling struct {
+	reply    PromiseReply
+	requests []PromiseArgs
+	owed     OwedReply
+	owedErr  error // returned by Owed
 }
 
-func (s *sayer) Promise(_ context.Context, a PromiseArgs, r *PromiseReply) error {
-	s.asked = append(s.asked, a)
+func (s *fakeMoratoriumSibling) Promise(_ context.Context, a PromiseArgs, r *PromiseReply) error {
+	s.requests = append(s.requests, a)
 	*r = s.reply
 	return nil
 }
 
-func (s *sayer) Owed(_ context.Context, _ OwedArgs, r *OwedReply) error {
+func (s *fakeMoratoriumSibling) Owed(_ context.Context, _ OwedArgs, r *OwedReply) error {
 	*r = s.owed
-	return s.err
+	return s.owedErr
 }
 
-// While the state service is away for all a holder lives on the reports of its siblings, and not on
-// that of a process which began amid it or is of the version before.
-func TestASiblingThatBeganAmidSaysNothingOfWhatWas(t *testing.T) {
+// While the state service is unavailable to all controllers, the reports of its siblings let a holder go on
+// answering. Reports of a process that started during the outage, or of the previous version, do not.
+func TestRestartedSiblingDoesNotAdvanceWatermark(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, _ *heldSlot) {
-		old := PromiseReply{Given: true, AgeMs: time.Hour.Milliseconds(), Whole: true}
-		says := &sayer{reply: old}
+		established := PromiseReply{Given: true, AgeMs: time.Hour.Milliseconds(), Whole: true}
+		sibling := &fakeMoratoriumSibling{reply: established}
 		c.Siblings = []config.Sibling{{Name: "c1"}}
-		h.moratoriumPeers = []MoratoriumCaller{says}
+		h.moratoriumPeers = []MoratoriumCaller{sibling}
 		h.watermark = membership.NewWatermark([]string{"c1"})
 		h.synced(time.Now())
-		lasts := func(d time.Duration) { h.session.until.Store(int64(time.Since(h.session.base) + d)) }
-		lasts(3 * time.Second)
+		setSessionLeft := func(d time.Duration) { h.session.until.Store(int64(time.Since(h.session.base) + d)) }
+		setSessionLeft(3 * time.Second)
 		h.members["c1"] = &bookkeeping.Member{Generation: bookkeeping.Generation}
-		live := func(d time.Duration) {
+		advance := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 				for len(h.inbox) > 0 {
 					(<-h.inbox)()
@@ -139,37 +140,37 @@
 				h.requestMoratorium(time.Now())
 			}
 		}
-		if live(2 * c.RenewFor()); !h.mayAnswer() || h.session.Valid() || len(says.asked) < 10 {
-			t.Errorf("answers no more though it was told, asked %d times", len(says.asked))
+		if advance(2 * c.RenewFor()); !h.mayAnswer() || h.session.Valid() || len(sibling.requests) < 10 {
+			t.Errorf("no longer answers despite complete reports, or sent too few requests: %d", len(sibling.requests))
 		}
-		if behind := time.Since(h.watermark.Time()); behind > 2*time.Second {
-			t.Errorf("the watermark lies %v behind", behind)
+		if lag := time.Since(h.watermark.Time()); lag > 2*time.Second {
+			t.Errorf("the watermark lags by %v", lag)
 		}
-		// It is back at once: what the process before it granted, and with it its silence, still holds.
-		says.reply.AgeMs = 100
-		if live(3 * time.Second); !h.mayAnswer() || time.Since(h.watermark.Time()) > 2*time.Second {
-			t.Errorf("the watermark lies %v behind", time.Since(h.watermark.Time()))
+		// The sibling restarts at once: the grant of its predecessor, and with it the silence, still holds.
+		sibling.reply.AgeMs = 100
+		if advance(3 * time.Second); !h.mayAnswer() || time.Since(h.watermark.Time()) > 2*time.Second {
+			t.Errorf("the watermark lags by %v", time.Since(h.watermark.Time()))
 		}
-		// It was away for long, so that another may have begun and ended meanwhile.
-		says.reply = PromiseReply{}
-		live(membership.MoratoriumDuration + 3*time.Second)
-		lasts(time.Hour) // as if its session were renewed, and nothing else served
-		says.reply = PromiseReply{Given: true, AgeMs: 100, Whole: true}
-		if live(c.RenewFor()); h.mayAnswer() {
-			t.Error("goes on answering by the report of one that knows nothing of what was")
+		// The sibling was away for so long that another process may have started and ended meanwhile.
+		sibling.reply = PromiseReply{}
+		advance(membership.MoratoriumDuration + 3*time.Second)
+		setSessionLeft(time.Hour) // as if its session were renewed but nothing else were served
+		sibling.reply = PromiseReply{Given: true, AgeMs: 100, Whole: true}
+		if advance(c.RenewFor()); h.mayAnswer() {
+			t.Error("still answers on the basis of a report by a process that does not know its predecessor's cancellations")
 		}
-		// The version before names nothing.
+		// The previous version names no cancellations.
 		h.synced(time.Now())
-		says.reply = PromiseReply{Given: true}
-		if live(c.RenewFor() + 2*time.Second); h.mayAnswer() {
-			t.Error("goes on answering by no report")
+		sibling.reply = PromiseReply{Given: true}
+		if advance(c.RenewFor() + 2*time.Second); h.mayAnswer() {
+			t.Error("still answers without a report")
 		}
 	})
 }
 
-// A grant and the report beside it are read by the version before as a grant, and its grant is
-// no report.
-func TestPromisesOfTheVersionBefore(t *testing.T) {
+// The previous version reads a grant with a report as a grant. A grant by the previous version counts as no
+// complete report.
+func TestMoratoriumCompatibilityWithPreviousVersion(t *testing.T) {
 	type olderArgs struct {
 		Caller string
 		Term   uint64
@@ -189,93 +190,95 @@
 		}
 	}
 	if args.Caller != "c1" || args.Term != 7 || !reply.Given || reply.cancellationReport(membership.LegacyMoratoriumDuration).Complete || !older.Given {
-		t.Errorf("%+v %+v %+v", args, reply, older)
+		t.Errorf("args %+v, reply %+v, reply as read by the previous version %+v", args, reply, older)
 	}
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
-		for _, since := range []int64{0, -5, -1 << 62} { // of the version before, and senseless ones
+		for _, since := range []int64{0, -5, -1 << 62} { // from the previous version, and invalid values
 			if r := h.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: since}); r.Whole {
-				t.Errorf("since %d: %+v", since, r)
+				t.Errorf("complete report for SinceMs %d: %+v", since, r)
 			}
 		}
-		// What was put away before it followed the records it can't name, whatever is asked.
+		// It cannot name cancelled jobs that were removed from the records before it followed them, so the
+		// report contains no records age.
 		if r := h.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: 1 << 62}); !r.Whole || r.AgeMs < 0 || r.SyncedMs != 0 {
-			t.Errorf("since ever: %+v", r)
+			t.Errorf("report for the greatest SinceMs: %+v", r)
 		}
 		time.Sleep(5 * time.Second)
 		h.synced(time.Now())
 		if r := h.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: 1000}); !r.Whole || r.SyncedMs <= 0 {
-			t.Errorf("since it follows the records: %+v", r)
+			t.Errorf("report for a time since which it followed the records: %+v", r)
 		}
 	})
 }
 
-// A process that has just started is bound by what the one before it may have granted: until
-// all siblings say that they asked for nothing, or for as long as what they asked for lasts. One
-// that does not answer may have asked, and so may one of the version before, which does not know
-// the question.
-func TestAYoungProcessIsBoundByTheOneBefore(t *testing.T) {
+// A process that has just started is bound by the moratoria that its predecessor may have granted, for as long
+// as the siblings report that these last. A sibling that does not answer may hold a moratorium, and so may one of
+// the previous version, which does not support the request.
+func TestProcessIsBoundByGrantsOfItsPredecessor(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, _ *heldSlot) {
-		owed := func(d time.Duration) *sayer { return &sayer{owed: OwedReply{ForMs: d.Milliseconds()}} }
-		silent := &sayer{err: errNotNow}
+		reporting := func(d time.Duration) *fakeMoratoriumSibling {
+			return &fakeMoratoriumSibling{owed: OwedReply{ForMs: d.Milliseconds()}}
+		}
+		silent := &fakeMoratoriumSibling{owedErr: errNotNow}
 		for name, x := range map[string]struct {
 			siblings []MoratoriumCaller
-			free     time.Duration
+			bound    time.Duration
 		}{
-			"nothing is owed":     {[]MoratoriumCaller{owed(time.Millisecond), owed(time.Millisecond)}, 0},
-			"one asked of late":   {[]MoratoriumCaller{owed(time.Millisecond), owed(7 * time.Second)}, 7 * time.Second},
-			"one does not answer": {[]MoratoriumCaller{owed(time.Millisecond), silent}, membership.RecoveryPeriod},
-			"alone":               {nil, 0},
+			"no outstanding grant":  {[]MoratoriumCaller{reporting(time.Millisecond), reporting(time.Millisecond)}, 0},
+			"one outstanding grant": {[]MoratoriumCaller{reporting(time.Millisecond), reporting(7 * time.Second)}, 7 * time.Second},
+			"one does not answer":   {[]MoratoriumCaller{reporting(time.Millisecond), silent}, membership.RecoveryPeriod},
+			"no siblings":           {nil, 0},
 		} {
-			young := NewHolder(h.ctx, c, h.session, nil, h.workers)
-			young.moratoriumPeers = x.siblings
-			go young.learnOutstandingGrants()
+			restarted := NewHolder(h.ctx, c, h.session, nil, h.workers)
+			restarted.moratoriumPeers = x.siblings
+			go restarted.learnOutstandingGrants()
 			began := time.Now()
-			if young.mayTakeOver("c1") || young.mayConfirm("wk-1") {
-				t.Errorf("%s: it is not bound at its start", name)
+			if restarted.mayTakeOver("c1") || restarted.mayConfirm("wk-1") {
+				t.Errorf("%s: not bound at its start", name)
 			}
-			for !young.mayTakeOver("c1") {
+			for !restarted.mayTakeOver("c1") {
 				time.Sleep(250 * time.Millisecond)
-				for len(young.inbox) > 0 {
-					(<-young.inbox)()
+				for len(restarted.inbox) > 0 {
+					(<-restarted.inbox)()
 				}
 			}
-			if took := time.Since(began); took < x.free || took > x.free+time.Second || !young.mayConfirm("wk-1") {
-				t.Errorf("%s: bound for %v", name, took)
+			if took := time.Since(began); took < x.bound || took > x.bound+time.Second || !restarted.mayConfirm("wk-1") {
+				t.Errorf("%s: bound for %v, or may not confirm afterwards", name, took)
 			}
 		}
-		// What it was asked for itself it owes as well, once it was.
+		// After the holder itself has requested a moratorium, it reports that moratorium as outstanding.
 		if h.moratoriumRequested = time.Now(); membership.RemainingMoratorium(h.moratoriumRequested, time.Now()) < membership.MoratoriumDuration {
-			t.Error("nothing is owed to one that has just asked")
+			t.Error("no moratorium is outstanding right after a request")
 		}
 	})
 }
 
-// A process that has just read the records has not read those of jobs long over: what was
-// cancelled and put away before that it can't name. Its report says nothing of what its records
-// are as new as, to one that asks for what was before.
-func TestWhoHasJustBegunToFollowCanNotNameWhatWasPutAway(t *testing.T) {
+// A process that has just read the records cannot name cancelled jobs that were removed from them earlier. To a
+// request that reaches further back than the time since which the process has followed the records, its report
+// contains no records age.
+func TestReportOmitsRecordsAgeUntilRecordsWereFollowed(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, _ *heldSlot) {
-		s := NewHolder(h.ctx, c, h.session, nil, h.workers)
-		synced := func(since time.Duration) int64 {
-			r := s.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: since.Milliseconds()})
+		sibling := NewHolder(h.ctx, c, h.session, nil, h.workers)
+		syncedMs := func(since time.Duration) int64 {
+			r := sibling.answerMoratoriumRequest(&PromiseArgs{Caller: "c1", SinceMs: since.Milliseconds()})
 			if !r.Whole {
-				t.Errorf("what it knows itself it names: %+v", r)
+				t.Errorf("the report of its own knowledge must be complete: %+v", r)
 			}
 			return r.SyncedMs
 		}
-		if s.synced(time.Now()); synced(10*time.Second) != 0 {
-			t.Error("it speaks for what was before it read")
+		if sibling.synced(time.Now()); syncedMs(10*time.Second) != 0 {
+			t.Error("the report contains a records age for a time before its first read")
 		}
 		for range 10 {
 			time.Sleep(3 * time.Second)
-			s.synced(time.Now())
+			sibling.synced(time.Now())
 		}
-		if synced(10*time.Second) == 0 || synced(40*time.Second) != 0 {
-			t.Error("it followed for 30 s")
+		if syncedMs(10*time.Second) == 0 || syncedMs(40*time.Second) != 0 {
+			t.Error("the report must contain a records age exactly for the 30 s that it followed the records")
 		}
-		time.Sleep(2 * time.Minute) // so long that it may have had to read anew
-		if s.synced(time.Now()); synced(10*time.Second) != 0 {
-			t.Error("it speaks for what it did not follow")
+		time.Sleep(2 * time.Minute) // long enough that it may have had to reread all records
+		if sibling.synced(time.Now()); syncedMs(10*time.Second) != 0 {
+			t.Error("the report contains a records age for a time in which it did not follow the records")
 		}
 	})
 }
