--- a/internal/coordination/blame.go
+++ b/internal/coordination/blame.go
@@ -15,21 +15,21 @@
 
 // ---- the holder's side: machines
 
-// failed notes that a job's task failed on a machine, succeeded that one
+// noteFailure notes that a job's task noteFailure on a machine, succeeded that one
 // of a job's tasks ran or was completed.
-func (h *Holder) failed(w *worker, job string) {
+func (h *Holder) noteFailure(w *worker, job string) {
 	w.errorsBy[job] = true
-	h.judge(w)
+	h.judgeMachine(w)
 }
 
-func (h *Holder) succeeded(w *worker) {
+func (h *Holder) noteSuccess(w *worker) {
 	w.soundAt = time.Now()
 	clear(w.errorsBy)
-	h.judge(w)
+	h.judgeMachine(w)
 }
 
-// judge brings up to date what is thought of a machine.
-func (h *Holder) judge(w *worker) {
+// judgeMachine brings up to date what is thought of a machine.
+func (h *Holder) judgeMachine(w *worker) {
 	var by []placement.Opinion
 	for job := range w.errorsBy {
 		j, o := h.jobs[job], h.opinions[job]
@@ -61,63 +61,63 @@
 	}
 }
 
-// hearOpinion takes in what is thought of a job.
-func (h *Holder) hearOpinion(job string, o placement.Opinion) {
+// setOpinion takes in what is thought of a job.
+func (h *Holder) setOpinion(job string, o placement.Opinion) {
 	if j := h.jobs[job]; j == nil || j.Final() {
 		return
 	}
 	h.opinions[job] = o
 	for _, w := range h.byID {
 		if w.errorsBy[job] {
-			h.judge(w)
+			h.judgeMachine(w)
 		}
 	}
 }
 
 // ---- the owner's side: jobs
 
-// noteFailures takes in which jobs failed on a machine.
-func (o *Owner) noteFailures(v *board.MachineView) {
+// noteFailedJobs takes in which jobs failed on a machine.
+func (o *Owner) noteFailedJobs(v *board.MachineView) {
 	for _, id := range v.Failed {
 		js := o.active[id]
-		if js == nil || len(js.badOn) >= 64 {
+		if js == nil || len(js.failedOn) >= 64 {
 			continue
 		}
-		if _, known := js.badOn[v.ID]; !known {
-			js.badOn[v.ID] = v.Sound
-			o.failing[id] = js
+		if _, known := js.failedOn[v.ID]; !known {
+			js.failedOn[v.ID] = v.Sound
+			o.failingJobs[id] = js
 		}
 	}
 }
 
 // judgeJobs brings up to date what is thought of the jobs that failed.
 func (o *Owner) judgeJobs(now time.Time) {
-	for id, js := range o.failing {
+	for id, js := range o.failingJobs {
 		if o.active[id] != js {
-			delete(o.failing, id)
+			delete(o.failingJobs, id)
 			continue
 		}
 		was := js.opinion
 		if was == placement.Innocent {
 			continue
 		}
-		js.opinion = placement.JudgeJob(js.badOn, o.succeeded(js, now))
+		js.opinion = placement.JudgeJob(js.failedOn, o.hasSucceeded(js, now))
 		if js.opinion == was {
 			continue
 		}
 		if js.opinion == placement.AtFault {
-			slog.Info("job fails everywhere", "job", id, "machines", len(js.badOn))
-			js.trials, js.trialAt = 0, now.Add(placement.TrialAfter)
+			slog.Info("job fails everywhere", "job", id, "machines", len(js.failedOn))
+			js.trialCount, js.nextTrialAt = 0, now.Add(placement.TrialAfter)
 		} else if was == placement.AtFault {
 			slog.Info("job fails no longer", "job", id)
 		}
 		js.stale = true
-		o.think(id, js.opinion)
+		o.publishOpinion(id, js.opinion)
 	}
 }
 
-// succeeded tells whether a task of the job was completed, or runs.
-func (o *Owner) succeeded(js *jobState, now time.Time) bool {
+// hasSucceeded tells whether a task of the job was completed, or runs.
+func (o *Owner) hasSucceeded(js *jobState, now time.Time) bool {
 	if js.job.DoneCount() > 0 {
 		return true
 	}
@@ -131,9 +131,9 @@
 	return false
 }
 
-// onTrial tells whether a job at fault may be tried now: one task at a time
+// trialAllowed tells whether a job at fault may be tried now: one task at a time
 // (all of a gang), more and more rarely.
-func (o *Owner) onTrial(js *jobState, now time.Time) bool {
+func (o *Owner) trialAllowed(js *jobState, now time.Time) bool {
 	if js.opinion != placement.AtFault {
 		return true
 	}
@@ -146,11 +146,11 @@
 	if js.job.Spec.Shape == protocol.Gang && there {
 		return true // its trial is under way
 	}
-	return !there && !now.Before(js.trialAt)
+	return !there && !now.Before(js.nextTrialAt)
 }
 
-// tried puts the next trial off.
-func (js *jobState) tried(now time.Time) {
-	js.trialAt = now.Add(placement.NextTrial(js.trials))
-	js.trials++
+// scheduleNextTrial puts the next trial off.
+func (js *jobState) scheduleNextTrial(now time.Time) {
+	js.nextTrialAt = now.Add(placement.NextTrial(js.trialCount))
+	js.trialCount++
 }
--- a/internal/coordination/chains.go
+++ b/internal/coordination/chains.go
@@ -16,8 +16,8 @@
 // Chains of jobs, as a submission sees them. What follows for a job from the
 // others is worked out with the replica (bookkeeping, chains.go).
 
-// urgency is how much the end of a job is wanted for its own sake.
-func urgency(c *config.Config, j *bookkeeping.Job) bookkeeping.Urgency {
+// urgencyOf is how much the end of a job is wanted for its own sake.
+func urgencyOf(c *config.Config, j *bookkeeping.Job) bookkeeping.Urgency {
 	u := bookkeeping.Urgency{Rank: j.Spec.Priority.Rank(), Filler: c.Filler(j.Spec)}
 	if due, ok := j.Spec.Deadline(); ok {
 		u.End = j.Accepted.Add(due)
@@ -25,23 +25,23 @@
 	return u
 }
 
-// errNever: the jobs that a submission names can't all be done some day.
-var errNever = errors.New("awaits")
+// errUnsatisfiable: the jobs that a submission names can't all be done some day.
+var errUnsatisfiable = errors.New("awaits")
 
-// needsWithin bounds how long a submission's names are looked up, before its
+// needsTimeout bounds how long a submission's names are looked up, before its
 // user is told to come again.
-const needsWithin = 2500 * time.Millisecond
+const needsTimeout = 2500 * time.Millisecond
 
-// needs finds out what became of the jobs that a submission names, and leaves
-// in it those that are not over: what is done needs not be waited for, and
+// resolveNeeds finds out what became of the jobs that a submission names, and leaves
+// in it those that are not over: what is done resolveNeeds not be waited for, and
 // would have to be looked up by every controller that starts. with is one that
 // was cancelled. What is found is kept for a retry: a list of jobs long over
 // may take several.
-func (k *Controller) needs(ctx context.Context, spec *protocol.JobSpec) (with string, err error) {
+func (k *Controller) resolveNeeds(ctx context.Context, spec *protocol.JobSpec) (with string, err error) {
 	if len(spec.Needs) == 0 {
 		return "", nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, needsWithin)
+	ctx, cancel := context.WithTimeout(ctx, needsTimeout)
 	defer cancel()
 	known, ok := askFor(ctx, &k.owner.actor, func() map[string]*bookkeeping.Job {
 		for _, p := range k.owner.peers {
@@ -62,7 +62,7 @@
 	if !ok || known == nil {
 		return "", ErrLater
 	}
-	if err := k.readNeeds(ctx, spec, known); err != nil {
+	if err := k.readUnknownNeeds(ctx, spec, known); err != nil {
 		return "", err
 	}
 	var open []string
@@ -70,9 +70,9 @@
 		j := known[id]
 		switch {
 		case id == spec.ID || j == nil:
-			return "", fmt.Errorf("%w: %s was never accepted", errNever, id)
+			return "", fmt.Errorf("%w: %s was never accepted", errUnsatisfiable, id)
 		case j.Spec.Shape == protocol.Service:
-			return "", fmt.Errorf("%w: %s is a service, which is never done", errNever, id)
+			return "", fmt.Errorf("%w: %s is a service, which is never done", errUnsatisfiable, id)
 		case j.State == protocol.Cancelled:
 			with = cmp.Or(j.With, id)
 		case j.State != protocol.Done:
@@ -83,11 +83,11 @@
 	return with, nil
 }
 
-// readNeeds reads the jobs that a submission names and that are not known, most
+// readUnknownNeeds reads the jobs that a submission names and that are not known, most
 // of them long over. They are listed a few at a time, the more the closer together
 // they turn out to lie. That one was never accepted is proved by reads that begin
 // after the submission.
-func (k *Controller) readNeeds(ctx context.Context, spec *protocol.JobSpec, known map[string]*bookkeeping.Job) error {
+func (k *Controller) readUnknownNeeds(ctx context.Context, spec *protocol.JobSpec, known map[string]*bookkeeping.Job) error {
 	most := 1
 	for _, id := range spec.Needs { // sorted, as the records are
 		if known[id] != nil || id == spec.ID {
@@ -109,7 +109,7 @@
 				known[id] = j
 				hits++
 				if j.Final() {
-					k.foundOver(j) // for the retry
+					k.addFinalJob(j) // for the retry
 				}
 			}
 		}
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// foundOver takes in a job that is over and that the replica does not have.
-func (k *Controller) foundOver(j *bookkeeping.Job) {
+// addFinalJob takes in a job that is over and that the replica does not have.
+func (k *Controller) addFinalJob(j *bookkeeping.Job) {
 	j.Seat = Place(k.cfg, j.Spec)
 	k.holder.tell(func() {
 		if k.holder.jobs[j.Spec.ID] == nil {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -84,9 +84,9 @@
 		k.holder.moratoriumPeers = append(k.holder.moratoriumPeers, peer)
 		k.holder.announcers = append(k.holder.announcers, peer)
 	}
-	k.owner = NewOwner(ctx, c, k.session, k.store, holders, k.foundOver,
-		func(job string, op placement.Opinion) { k.holder.tell(func() { k.holder.hearOpinion(job, op) }) }, lenders)
-	k.owner.misrouted = func(s board.Stray, told bool, heard time.Time) {
+	k.owner = NewOwner(ctx, c, k.session, k.store, holders, k.addFinalJob,
+		func(job string, op placement.Opinion) { k.holder.tell(func() { k.holder.setOpinion(job, op) }) }, lenders)
+	k.owner.handleStray = func(s board.Stray, told bool, heard time.Time) {
 		k.holder.tell(func() { k.holder.noteMisrouted(s, told, heard) })
 	}
 	k.leader = NewLeader(ctx, c, k.session, k.store, transport.NewCloud(dial, c.Services.Cloud, d.Cloud.RPS*0.8), k.owner, holders)
@@ -94,8 +94,8 @@
 		k.quotas.Store(&quotaSet{tree: c.Quotas})
 	}
 	k.reader = bookkeeping.NewReader(k.store)
-	k.reader.Found = k.foundOver
-	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.Seat { return Place(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgency(c, j) }, k,
+	k.reader.Found = k.addFinalJob
+	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.Seat { return Place(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgencyOf(c, j) }, k,
 		func(revision uint64) { k.reader.Caught(ctx, revision) })
 	k.replica.Block = c.WatchFor()
 	return k
@@ -146,14 +146,14 @@
 	if !k.loaded.Load() {
 		return false
 	}
-	alone := len(k.cfg.Siblings) > 0 && !k.owner.othersHeard.Load()
+	alone := len(k.cfg.Siblings) > 0 && !k.owner.siblingHeard.Load()
 	switch now := time.Now(); {
 	case alone && now.Sub(k.state.Counts.Answered()) > silentFor:
 		return false
-	case time.UnixMilli(k.owner.othersServed.Load()).Sub(k.state.Counts.Served()) > refusedFor:
+	case time.UnixMilli(k.owner.siblingServedMs.Load()).Sub(k.state.Counts.Served()) > refusedFor:
 		return false
 	}
-	return k.session.Valid() || !k.owner.othersValid.Load()
+	return k.session.Valid() || !k.owner.siblingSessionValid.Load()
 }
 
 // Report passes a worker's report to the holder.
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -64,22 +64,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &Owner{cfg: c, board: board.New(), types: protocoltest.Types(), rng: rand.New(rand.NewPCG(3, 4)), session: &Session{}, peers: map[string]*peerState{"c1": {}},
-		unclear: map[string]*jobState{}}
+	o := &Owner{cfg: c, board: board.New(), machineTypes: protocoltest.Types(), rng: rand.New(rand.NewPCG(3, 4)), session: &Session{}, peers: map[string]*peerState{"c1": {}},
+		unresolved: map[string]*jobState{}}
 	for n := range 12 {
 		m := &board.Machine{Current: true, Holder: "c1", MachineView: board.MachineView{ID: fmt.Sprintf("m%d", n), Type: "small", Usable: true,
 			Zone: []string{"a", "b", "c"}[n%3], Free: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}}
 		if m.Zone == "b" {
 			m.Images = []string{"img"}
 		}
-		o.usable, o.board.Machines[m.ID] = append(o.usable, m), m
+		o.usableCache, o.board.Machines[m.ID] = append(o.usableCache, m), m
 	}
 	for range 8 {
 		js := &jobState{job: &bookkeeping.Job{Spec: protocoltest.Job(func(s *protocol.JobSpec) {
 			s.Team, s.Shape, s.OneZone, s.Tasks = "free", protocol.Gang, true, 3
 		})}, pending: map[int]*pendingStart{}}
 		rq := requests{}
-		o.gatherGang(js, time.Now(), rq)
+		o.reserveGang(js, time.Now(), rq)
 		for _, st := range rq["c1"].Starts {
 			m := o.board.Machines[st.Machine]
 			if m.Zone != "b" {
@@ -112,8 +112,8 @@
 		return !o.resolved(ps, holder, &FeedArgs{Fence: protocol.NewToken(1, 100)}, r)
 	}
 	news("c0", 1, 10, 5, true, 0, 3)
-	acked := &pendingStart{machine: "m", holder: "c0", inc: 1, slot: 3, term: 5, id: protocol.NewToken(1, 7), acked: true, ackInc: 1, version: 12}
-	lost := &pendingStart{machine: "m", holder: "c0", inc: 1, slot: 3, term: 5, id: protocol.NewToken(1, 8), unknown: true}
+	acked := &pendingStart{machine: "m", holder: "c0", holderIncarnation: 1, slot: 3, slotTerm: 5, requestID: protocol.NewToken(1, 7), acked: true, ackIncarnation: 1, ackVersion: 12}
+	lost := &pendingStart{machine: "m", holder: "c0", holderIncarnation: 1, slot: 3, slotTerm: 5, requestID: protocol.NewToken(1, 8), outcomeUnknown: true}
 	if r := news("c0", 1, 11, 5, true, 0, 3); !open(acked, "c0", r) {
 		t.Error("resolved by news from before the start")
 	}
@@ -126,7 +126,7 @@
 	if r := news("c1", 2, 5, 6, true, 3); open(acked, "c1", r) || open(lost, "c1", r) {
 		t.Error("still open although the new holder knows all")
 	}
-	held := &pendingStart{machine: "m", holder: "c1", inc: 2, slot: 3, term: 6, id: protocol.NewToken(1, 9), acked: true, ackInc: 2, version: 6}
+	held := &pendingStart{machine: "m", holder: "c1", holderIncarnation: 2, slot: 3, slotTerm: 6, requestID: protocol.NewToken(1, 9), acked: true, ackIncarnation: 2, ackVersion: 6}
 	if r := news("c1", 2, 6, 6, true, 3); open(held, "c1", r) {
 		t.Error("still open although the holder's news covers it")
 	}
@@ -143,7 +143,7 @@
 	use := map[string]protocol.Room{"free": {Cores: 4}, "bound": {Cores: 8}}
 	job := func(team string, p protocol.Priority) *bookkeeping.Job {
 		s := protocoltest.Job(func(s *protocol.JobSpec) { s.Team, s.Priority, s.Accels = team, p, 0 })
-		return &bookkeeping.Job{Spec: s, Place: bookkeeping.Place{Urgency: urgency(c, &bookkeeping.Job{Spec: s})}}
+		return &bookkeeping.Job{Spec: s, Place: bookkeeping.Place{Urgency: urgencyOf(c, &bookkeeping.Job{Spec: s})}}
 	}
 	// One that an urgent job needs is as urgent, as who asks and as who may go.
 	needed := func(j *bookkeeping.Job) *bookkeeping.Job { j.Rank = 2; return j }
@@ -190,7 +190,7 @@
 	if o.presentSince() != 3 {
 		t.Fatalf("present owners since %d", o.presentSince())
 	}
-	o.born = map[uint64]uint64{o.presentSince(): 77}
+	o.gainRevisions = map[uint64]uint64{o.presentSince(): 77}
 	for i := range 2000 {
 		token := protocol.RingToken(protocol.TaskName("wk-1", i))
 		if g := o.gainOf(token); (g != 0) != (o.window().Owner(token) == "c0") || g != 0 && o.bornBy(g) != 77 {
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -18,39 +18,39 @@
 
 // What an owner knows of the fleet and of what it lacks.
 
-func (o *Owner) isGone(ctx context.Context, id string) bool {
-	gone, _ := askFor(ctx, &o.actor, func() bool { return o.gone.has(id) })
+func (o *Owner) isRemoved(ctx context.Context, id string) bool {
+	gone, _ := askFor(ctx, &o.actor, func() bool { return o.removedMachines.has(id) })
 	return gone
 }
 
-// expect notes rented machines before the records show them.
-func (o *Owner) expect(l bookkeeping.RentalBatch) {
+// addRentedMachines notes rented machines before the records show them.
+func (o *Owner) addRentedMachines(l bookkeeping.RentalBatch) {
 	o.ask(o.ctx, func() {
 		for _, id := range l.Machines {
-			if o.machReg[id] == nil && !o.gone.has(id) {
-				o.machReg[id] = l.Machine(id)
+			if o.registeredMachines[id] == nil && !o.removedMachines.has(id) {
+				o.registeredMachines[id] = l.Machine(id)
 			}
 		}
 	})
 }
 
-// fleet sums up the fleet for the leader.
-func (o *Owner) fleet(ctx context.Context, now, started time.Time) *fleetState {
+// summarizeFleet sums up the summarizeFleet for the leader.
+func (o *Owner) summarizeFleet(ctx context.Context, now, started time.Time) *fleetState {
 	st := &fleetState{drained: map[string]uint64{}, holder: map[string]string{}, reg: map[string]*bookkeeping.Machine{}, seen: map[string]bool{}, up: map[string]bool{}}
 	ok := o.ask(ctx, func() {
 		// Without every slot's news it is not known what is missing.
 		st.ready = o.window() != nil && o.board.AllComplete(o.slots, 0)
-		st.in.Types = o.types
-		st.in.Scarce = o.scarce()
-		o.addRegistered(st)
-		o.addAwaited(st)
+		st.in.Types = o.machineTypes
+		st.in.Scarce = o.findScarceTypes()
+		o.addRegisteredMachines(st)
+		o.addAwaitedMachines(st)
 		for id, m := range o.board.Machines {
-			if o.addSeen(st, id, m) {
+			if o.addReportedMachine(st, id, m) {
 				st.in.Machines = append(st.in.Machines, o.fleetMachine(id, m, now))
 			}
 		}
 		st.in.Demands = o.demands(now, started)
-		st.load = o.load(now)
+		st.load = o.ringLoad(now)
 	})
 	if !ok {
 		return nil
@@ -58,10 +58,10 @@
 	return st
 }
 
-// addRegistered adds the machines by the records, and on which of those that are not seen tasks
+// addRegisteredMachines adds the machines by the records, and on which of those that are not seen tasks
 // may be.
-func (o *Owner) addRegistered(st *fleetState) {
-	for id, m := range o.machReg {
+func (o *Owner) addRegisteredMachines(st *fleetState) {
+	for id, m := range o.registeredMachines {
 		st.reg[id] = m
 		if o.board.Machines[id] == nil && o.rosters[ring.SlotOf(id, o.slots)][m.Number()] {
 			st.up[id] = true
@@ -69,11 +69,11 @@
 	}
 }
 
-// addAwaited adds the machines that have not reported since their slots changed hands: jobs whose
+// addAwaitedMachines adds the machines that have not reported since their slots changed hands: jobs whose
 // tasks may be there wait until they are gone.
-func (o *Owner) addAwaited(st *fleetState) {
+func (o *Owner) addAwaitedMachines(st *fleetState) {
 	for _, s := range o.board.Slots {
-		if p := o.peers[s.Holder]; p != nil && p.valid {
+		if p := o.peers[s.Holder]; p != nil && p.sessionValid {
 			st.silent = append(st.silent, s.Awaited...)
 			for _, id := range s.Awaited {
 				st.holder[id] = s.Holder
@@ -82,8 +82,8 @@
 	}
 }
 
-// addSeen adds what holders say of a machine; it tells whether the machine is to be planned with.
-func (o *Owner) addSeen(st *fleetState, id string, m *board.Machine) bool {
+// addReportedMachine adds what holders say of a machine; it tells whether the machine is to be planned with.
+func (o *Owner) addReportedMachine(st *fleetState, id string, m *board.Machine) bool {
 	st.seen[id] = true
 	if st.holder[id] == "" {
 		st.holder[id] = m.Holder
@@ -94,7 +94,7 @@
 	if m.Drained > 0 {
 		st.drained[id] = m.Drained
 	}
-	if p := o.peers[m.Holder]; m.Silent && m.Current && p != nil && p.valid {
+	if p := o.peers[m.Holder]; m.Silent && m.Current && p != nil && p.sessionValid {
 		if !slices.Contains(st.silent, id) {
 			st.silent = append(st.silent, id)
 		}
@@ -112,7 +112,7 @@
 	f := &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: m.Free, Used: len(m.Instances) > 0, Fresh: now.Sub(m.Known) < fleet.FreshFor, Images: m.Images}
 	for _, i := range m.Instances {
 		if js := o.jobs[i.Job]; js != nil && !i.Exited() {
-			addUse(f, js.job, i, now)
+			addTaskUse(f, js.job, i, now)
 		}
 	}
 	if !m.EmptySince.IsZero() {
@@ -121,8 +121,8 @@
 	return f
 }
 
-// addUse adds a task to what uses a machine.
-func addUse(f *fleet.Machine, j *bookkeeping.Job, i *board.Instance, now time.Time) {
+// addTaskUse adds a task to what uses a machine.
+func addTaskUse(f *fleet.Machine, j *bookkeeping.Job, i *board.Instance, now time.Time) {
 	if j.Spec.Shape == protocol.Service {
 		f.Pinned = true
 		r := fleet.Replica{Spec: j.Spec}
@@ -139,12 +139,12 @@
 	f.ByRank[j.Rank] = f.ByRank[j.Rank].Add(j.Spec.Need())
 }
 
-// doubtAfter is for how long a controller may not have been heard of before nothing is
+// siblingDoubtTimeout is for how long a controller may not have been heard of before nothing is
 // moved to it.
-const doubtAfter = 4 * time.Second
+const siblingDoubtTimeout = 4 * time.Second
 
-// load is what the slots carry, and whose holders are doubted.
-func (o *Owner) load(now time.Time) ring.Load {
+// ringLoad is what the slots carry, and whose holders are doubted.
+func (o *Owner) ringLoad(now time.Time) ring.Load {
 	l := ring.Load{Slots: make([]float64, o.slots), Doubted: map[string]bool{}}
 	for n := range l.Slots {
 		s := o.board.Slots[n]
@@ -158,7 +158,7 @@
 		l.Slots[n] = ring.LoadOf(len(s.Machines), tasks)
 	}
 	for name, p := range o.peers {
-		l.Doubted[name] = !p.valid || now.Sub(p.heard) > doubtAfter
+		l.Doubted[name] = !p.sessionValid || now.Sub(p.heardAt) > siblingDoubtTimeout
 	}
 	return l
 }
@@ -167,14 +167,14 @@
 func (o *Owner) demands(now, started time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	affordable := o.affordable()
-	rates, ahead := o.endsByImage(now), map[string]int{}
-	limits := o.leftOfLimits()
-	for _, js := range o.inOrder() {
+	rates, ahead := o.completionRates(now), map[string]int{}
+	limits := o.remainingTeamLimits()
+	for _, js := range o.activeJobsByUrgency() {
 		if js.job.Waits > 0 || js.opinion == placement.AtFault {
 			continue // nothing is kept for it that others could use now
 		}
 		s := js.job.Spec
-		missing, zones := o.missingOf(js)
+		missing, zones := o.missingTasks(js)
 		if missing <= 0 {
 			continue
 		}
@@ -187,26 +187,26 @@
 		if missing <= 0 {
 			continue
 		}
-		if _, fetch := fleet.Ready(o.types, s, s.ImageGB); fetch > 0 && s.Shape != protocol.Service {
-			n := min(missing, placement.Hold(o.cfg.Patience, rates[s.Image], ahead[s.Image], fetch, now.Sub(js.job.Ready), o.within(s.Class, time.Minute)))
+		if _, fetch := fleet.Ready(o.machineTypes, s, s.ImageGB); fetch > 0 && s.Shape != protocol.Service {
+			n := min(missing, placement.Hold(o.cfg.Patience, rates[s.Image], ahead[s.Image], fetch, now.Sub(js.job.Ready), o.startObjective(s.Class, time.Minute)))
 			ahead[s.Image] += n
 			if missing -= n; missing <= 0 {
 				continue // room where their image is comes sooner than a machine
 			}
 		}
-		if s.Shape == protocol.Array && o.within(s.Class, 0) == 0 {
-			ready, _ := fleet.Ready(o.types, s, s.ImageGB)
-			missing = fleet.InTurn(missing, s.Estimate(), o.finish(js).Sub(now)-ready)
+		if s.Shape == protocol.Array && o.startObjective(s.Class, 0) == 0 {
+			ready, _ := fleet.Ready(o.machineTypes, s, s.ImageGB)
+			missing = fleet.InTurn(missing, s.Estimate(), o.targetFinish(js).Sub(now)-ready)
 		}
 		out = append(out, fleet.Demand{Spec: s, Raised: js.job.Rank, Count: missing, Filler: js.job.Filler,
-			Left: max(0, o.within(s.Class, time.Hour)-now.Sub(js.job.Ready)), ZoneLeft: o.zoneLeft(s, zones)})
+			Left: max(0, o.startObjective(s.Class, time.Hour)-now.Sub(js.job.Ready)), ZoneLeft: o.remainingPerZone(s, zones)})
 	}
-	return append(out, o.spares(now, started)...)
+	return append(out, o.spareDemands(now, started)...)
 }
 
-// missingOf is how many of a job's tasks are neither done nor have a machine, and how many have
+// missingTasks is how many of a job's tasks are neither done nor have a machine, and how many have
 // one by zone.
-func (o *Owner) missingOf(js *jobState) (missing int, zones map[string]int) {
+func (o *Owner) missingTasks(js *jobState) (missing int, zones map[string]int) {
 	missing = js.job.Spec.Tasks - js.job.DoneCount() - len(js.pending)
 	zones = map[string]int{}
 	for index, list := range o.board.Tasks[js.job.Spec.ID] {
@@ -221,8 +221,8 @@
 	return missing, zones
 }
 
-// zoneLeft is how many more tasks of a job each zone may have, nil if any may have all.
-func (o *Owner) zoneLeft(s *protocol.JobSpec, zones map[string]int) map[string]int {
+// remainingPerZone is how many more tasks of a job each zone may have, nil if any may have all.
+func (o *Owner) remainingPerZone(s *protocol.JobSpec, zones map[string]int) map[string]int {
 	if !s.Scatter && !s.OneZone {
 		return nil
 	}
@@ -236,13 +236,13 @@
 	return left
 }
 
-// spares are what is kept ready for urgent work that is expected to come.
-func (o *Owner) spares(now, started time.Time) (out []fleet.Demand) {
+// spareDemands are what is kept ready for urgent work that is expected to come.
+func (o *Owner) spareDemands(now, started time.Time) (out []fleet.Demand) {
 	for name, c := range o.classes {
 		if c.Spec.Priority.Rank() < placement.Preempts {
 			continue // other work of its kind would be in it at once
 		}
-		n, preempt := fleet.Spare(c, o.types, o.within(name, math.MaxInt64), o.cfg.Spare, now, started)
+		n, preempt := fleet.Spare(c, o.machineTypes, o.startObjective(name, math.MaxInt64), o.cfg.Spare, now, started)
 		if n <= 0 {
 			continue
 		}
@@ -258,26 +258,26 @@
 	return out
 }
 
-// inOrder are the jobs that are not over, by priority and by what is due first.
-func (o *Owner) inOrder() []*jobState {
+// activeJobsByUrgency are the jobs that are not over, by priority and by what is due first.
+func (o *Owner) activeJobsByUrgency() []*jobState {
 	return slices.SortedFunc(maps.Values(o.active), func(a, b *jobState) int {
-		return cmp.Or(cmp.Compare(b.job.Rank, a.job.Rank), o.sooner(a, b))
+		return cmp.Or(cmp.Compare(b.job.Rank, a.job.Rank), o.compareStartDeadline(a, b))
 	})
 }
 
-// leftOfLimits is what each limited team may still use beside what is on machines.
-func (o *Owner) leftOfLimits() map[string]*fleet.Allowance {
+// remainingTeamLimits is what each limited team may still use beside what is on machines.
+func (o *Owner) remainingTeamLimits() map[string]*fleet.Allowance {
 	left := map[string]*fleet.Allowance{}
 	for i := range o.cfg.Deployment.Teams {
 		if t := &o.cfg.Deployment.Teams[i]; t.Limited() {
-			left[t.Name] = fleet.NewAllowance(protocol.Room{Cores: t.CoresMax, Accels: t.AccelsMax}, o.teamsNow().use[t.Name])
+			left[t.Name] = fleet.NewAllowance(protocol.Room{Cores: t.CoresMax, Accels: t.AccelsMax}, o.currentTeamUsage().placed[t.Name])
 		}
 	}
 	return left
 }
 
-// endsByImage is how often a second a task ends on machines that have an image, for each.
-func (o *Owner) endsByImage(now time.Time) map[string]float64 {
+// completionRates is how often a second a task ends on machines that have an image, for each.
+func (o *Owner) completionRates(now time.Time) map[string]float64 {
 	rates, wanted := map[string]float64{}, o.wantedImages(now)
 	for _, m := range o.board.Machines {
 		if !m.Usable {
@@ -285,7 +285,7 @@
 		}
 		rate := 0.0
 		for _, i := range m.Instances {
-			if e := o.endOf(i); i.Running() && e.Mean > 0 {
+			if e := o.expectedEnd(i); i.Running() && e.Mean > 0 {
 				rate += 1 / e.Mean.Seconds()
 			}
 		}
@@ -299,12 +299,12 @@
 	return rates
 }
 
-// finish is when the users want a job to be done: by the aim of its class, or
+// targetFinish is when the users want a job to be done: by the aim of its class, or
 // by its deadline, and in any case by what those that need it leave; as soon as
 // it was ready if nobody says.
-func (o *Owner) finish(js *jobState) time.Time {
+func (o *Owner) targetFinish(js *jobState) time.Time {
 	j := js.job
-	by := j.Ready.Add(o.aim(j.Spec.Class, "finished", 0))
+	by := j.Ready.Add(o.objective(j.Spec.Class, "finished", 0))
 	if !j.End.IsZero() && (by.Equal(j.Ready) || j.Needed && j.End.Before(by)) {
 		return j.End
 	}
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -31,12 +31,12 @@
 		sent := time.Now()
 		if err := h.Feed(o.ctx, a, &r); err != nil {
 			slog.Debug("no feed", "holder", name, "err", err)
-			o.tell(func() { o.peers[name].valid = false })
+			o.tell(func() { o.peers[name].sessionValid = false })
 			pause(o.ctx, 300*time.Millisecond)
 			continue
 		}
 		if name != o.cfg.Name && (r.Stray.Machine != "" || !r.TellsStrays) {
-			o.misrouted(r.Stray, r.TellsStrays, time.Now())
+			o.handleStray(r.Stray, r.TellsStrays, time.Now())
 		}
 		// The actor may do it after a controller that ends has stopped waiting: nothing is shared with it.
 		if taken, _ := askFor(o.ctx, &o.actor, func() bool { return o.feed(name, &a, &r, sent) }); !taken {
@@ -57,36 +57,36 @@
 // them and have started tasks there. (It goes on saying so until it hears that its session ended.)
 func (o *Owner) feed(name string, a *FeedArgs, r *board.News, sent time.Time) (taken bool) {
 	p := o.peers[name]
-	p.valid, p.heard = r.Valid, time.Now()
+	p.sessionValid, p.heardAt = r.Valid, time.Now()
 	if r.ServedMs > 0 {
-		p.served = p.heard.Add(-time.Duration(r.ServedMs) * time.Millisecond)
+		p.servedAt = p.heardAt.Add(-time.Duration(r.ServedMs) * time.Millisecond)
 	}
 	if !r.Valid && !r.Entitled {
 		return false
 	}
-	p.incarnation, p.version, p.fed = r.Incarnation, r.Version, a.Fence.Term()
-	if w := o.window(); o.latest != nil && r.Window == o.latest.Number && w != nil && w.Number < r.Window {
-		o.obey(o.latest) // the holder obeys it already and refuses older ones
+	p.incarnation, p.version, p.answeredIncarnation = r.Incarnation, r.Version, a.Fence.Term()
+	if w := o.window(); o.latestWindow != nil && r.Window == o.latestWindow.Number && w != nil && w.Number < r.Window {
+		o.obey(o.latestWindow) // the holder obeys it already and refuses older ones
 	}
 	kept := r.Machines[:0]
 	for _, m := range r.Machines {
-		if !o.gone.has(m.ID) {
+		if !o.removedMachines.has(m.ID) {
 			kept = append(kept, m)
 		}
 	}
 	r.Machines = kept
 	for i := range r.Machines {
-		o.noteFailures(&r.Machines[i])
+		o.noteFailedJobs(&r.Machines[i])
 	}
 	o.touched(o.board.Apply(name, r, sent, time.Now()))
-	o.roomCame(r.Machines)
+	o.dropMetNeeds(r.Machines)
 	o.dirty = true
 	for at, ps := range o.quotas.ghosts {
 		if o.resolved(ps, name, a, r) {
 			delete(o.quotas.ghosts, at)
 		}
 	}
-	for id, js := range o.unclear {
+	for id, js := range o.unresolved {
 		for i, ps := range js.pending {
 			if o.resolved(ps, name, a, r) {
 				delete(js.pending, i)
@@ -95,9 +95,9 @@
 		}
 		if js.allSettled() {
 			if len(js.pending) == 0 {
-				delete(o.unclear, id)
+				delete(o.unresolved, id)
 			}
-		} else if js.known.Before(sent) {
+		} else if js.firstSeen.Before(sent) {
 			o.settles(js, a, r)
 		}
 	}
@@ -118,14 +118,14 @@
 // now, or never will.
 func (o *Owner) resolved(ps *pendingStart, name string, a *FeedArgs, r *board.News) bool {
 	s := o.board.Slots[ps.slot]
-	if s != nil && s.Term > ps.term && s.Complete {
+	if s != nil && s.Term > ps.slotTerm && s.Complete {
 		return true // a new holder knows all that is there
 	}
 	if name != ps.holder || !o.shown(ps, name, r.Incarnation, r.Version) {
 		return false
 	}
 	// Outcome unknown: void once the holder has promised so, unless shown.
-	return ps.acked || ps.unknown && a.Fence > ps.id
+	return ps.acked || ps.outcomeUnknown && a.Fence > ps.requestID
 }
 
 // shown tells whether the holder's news, of a time when it still held the
@@ -133,8 +133,8 @@
 // and then gives the slot up never shows it: only its successor will.
 func (o *Owner) shown(ps *pendingStart, name string, incarnation, version uint64) bool {
 	s := o.board.Slots[ps.slot]
-	if s == nil || s.Holder != name || s.Term != ps.term || s.Version != version {
+	if s == nil || s.Holder != name || s.Term != ps.slotTerm || s.Version != version {
 		return false
 	}
-	return ps.acked && incarnation == ps.ackInc && version >= ps.version || !ps.acked && incarnation == ps.inc
+	return ps.acked && incarnation == ps.ackIncarnation && version >= ps.ackVersion || !ps.acked && incarnation == ps.holderIncarnation
 }
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -27,34 +27,34 @@
 	case placement.GangClears:
 		return 0
 	case placement.GangGathers:
-		return o.gatherGang(js, now, rq)
+		return o.reserveGang(js, now, rq)
 	case placement.GangStarts:
-		if !js.keptFrom.IsZero() && o.keepsAhead(js, tasks, gang.Attempt, now, rq) {
+		if !js.advanceSince.IsZero() && o.renewAdvanceReservations(js, tasks, gang.Attempt, now, rq) {
 			return 1
 		}
-		js.keptFrom = time.Time{}
+		js.advanceSince = time.Time{}
 		for index, list := range tasks {
 			if !now.Before(js.retryAt[index]) { // else it was refused a moment ago
-				o.start(js, index, gang.Attempt, placement.Choice{Machine: list[0].Machine}, false, rq)
+				o.addStart(js, index, gang.Attempt, placement.Choice{Machine: list[0].Machine}, false, rq)
 			}
 		}
 		return s.Tasks
 	case placement.GangYields:
 		o.stopGang(js, 0, now, rq)
-		js.blocked = now.Add(time.Second)
+		js.blockedUntil = now.Add(time.Second)
 		return 1
 	case placement.GangCompletes:
 		return o.completeGang(js, gang.Attempt, now, rq)
 	case placement.GangBroke:
 		// Make sure after a while that the rest notices.
-		if js.waitFrom.IsZero() {
-			js.waitFrom = now
-		} else if now.Sub(js.waitFrom) > 2*o.cfg.GangPeer() {
+		if js.incompleteSince.IsZero() {
+			js.incompleteSince = now
+		} else if now.Sub(js.incompleteSince) > 2*o.cfg.GangPeer() {
 			o.stopGang(js, 0, now, rq)
 		}
 		return 1
 	}
-	js.waitFrom = time.Time{}
+	js.incompleteSince = time.Time{}
 	return 0
 }
 
@@ -62,15 +62,15 @@
 	for _, list := range o.board.Tasks[js.job.Spec.ID] {
 		for _, i := range list {
 			if !i.Exited() {
-				o.askStop(i, grace, now, rq)
+				o.requestStop(i, grace, now, rq)
 			}
 		}
 	}
 }
 
-// gatherGang looks for room for all tasks at once, in each zone in turn if
+// reserveGang looks for room for all tasks at once, in each zone in turn if
 // they must share one.
-func (o *Owner) gatherGang(js *jobState, now time.Time, rq requests) int {
+func (o *Owner) reserveGang(js *jobState, now time.Time, rq requests) int {
 	s := js.job.Spec
 	for _, at := range js.retryAt {
 		if now.Before(at) {
@@ -78,13 +78,13 @@
 		}
 	}
 	clear(js.retryAt)
-	js.waitFrom = time.Time{}
+	js.incompleteSince = time.Time{}
 	if js.opinion == placement.AtFault {
-		js.tried(now)
+		js.scheduleNextTrial(now)
 	}
-	if !o.teamRoom(js, s.Tasks) {
-		o.takeTurn(js, now)
-		js.blocked = now.Add(500 * time.Millisecond)
+	if !o.teamLimitAllows(js, s.Tasks) {
+		o.updateTeamTurn(js, now)
+		js.blockedUntil = now.Add(500 * time.Millisecond)
 		return 1
 	}
 	attempt, ok := o.gangPermits(js, now)
@@ -96,21 +96,21 @@
 		return 1
 	}
 	zones := o.gangZones(s)
-	picks := o.pickInZones(js, zones, now)
+	picks := o.pickGangInZones(js, zones, now)
 	if picks == nil {
-		js.blocked = now.Add(time.Second)
-		o.keepAhead(js, zones, attempt, now, rq)
+		js.blockedUntil = now.Add(time.Second)
+		o.reserveInAdvance(js, zones, attempt, now, rq)
 		return s.Tasks
 	}
 	attempt = cmp.Or(attempt, o.newAttempt())
 	for index, c := range picks {
-		o.start(js, index, attempt, c, true, rq)
+		o.addStart(js, index, attempt, c, true, rq)
 	}
 	return s.Tasks
 }
 
-// takeTurn has a gang wait for its turn within its team's limit.
-func (o *Owner) takeTurn(js *jobState, now time.Time) {
+// updateTeamTurn has a gang wait for its turn within its team's limit.
+func (o *Owner) updateTeamTurn(js *jobState, now time.Time) {
 	s := js.job.Spec
 	if s.Tasks == 1 {
 		return
@@ -125,15 +125,15 @@
 // placeSingle places a gang of one task, which needs no reservation.
 func (o *Owner) placeSingle(js *jobState, attempt uint64, now time.Time, rq requests) {
 	p := o.placingFor(js, "")
-	c, ok := o.find(js, p, now)
+	c, ok := o.findMachine(js, p, now)
 	switch {
 	case !ok:
 		o.noteUnmetNeed(js, now)
-		o.keepAhead(js, []string{""}, attempt, now, rq)
-	case o.hold(js, p, &c, 1, now) > 0:
-		js.blocked = now.Add(holdFor)
+		o.reserveInAdvance(js, []string{""}, attempt, now, rq)
+	case o.countWaitingForImage(js, p, &c, 1, now) > 0:
+		js.blockedUntil = now.Add(imageWaitInterval)
 	default:
-		o.start(js, 0, cmp.Or(attempt, o.newAttempt()), c, false, rq)
+		o.addStart(js, 0, cmp.Or(attempt, o.newAttempt()), c, false, rq)
 	}
 }
 
@@ -143,7 +143,7 @@
 		return []string{""}
 	}
 	var zones []string
-	for _, m := range o.machinesNow() {
+	for _, m := range o.usableMachines() {
 		if !slices.Contains(zones, m.Zone) {
 			zones = append(zones, m.Zone)
 		}
@@ -152,9 +152,9 @@
 	return zones
 }
 
-// pickInZones finds a machine for every task of a gang in one of the zones, nil if there is none;
+// pickGangInZones finds a machine for every task of a gang in one of the zones, nil if there is none;
 // only if no zone has room otherwise where other work has to make room.
-func (o *Owner) pickInZones(js *jobState, zones []string, now time.Time) (picks []placement.Choice) {
+func (o *Owner) pickGangInZones(js *jobState, zones []string, now time.Time) (picks []placement.Choice) {
 	for _, evict := range []bool{false, true} {
 		var soonest time.Duration
 		for _, zone := range zones {
@@ -171,21 +171,21 @@
 	return nil
 }
 
-// keepEvery is how often what is kept for a gang is asked for again: a holder keeps it for 6 s.
-const keepEvery = 2 * time.Second
+// advanceRenewInterval is how often what is kept for a gang is asked for again: a holder keeps it for 6 s.
+const advanceRenewInterval = 2 * time.Second
 
-// keepAhead has what comes free on machines kept for a gang that found no room for long: each
+// reserveInAdvance has what comes free on machines kept for a gang that found no room for long: each
 // on a fleet that small work fills waited for as long as that came. It lasts for a turn at most,
 // after which others have theirs. attempt is the number that its permits are for, 0 if any will
 // do.
-func (o *Owner) keepAhead(js *jobState, zones []string, attempt uint64, now time.Time, rq requests) {
+func (o *Owner) reserveInAdvance(js *jobState, zones []string, attempt uint64, now time.Time, rq requests) {
 	s := js.job.Spec
-	if waited := now.Sub(js.job.Ready); waited < placement.AheadAfter || js.opinion == placement.AtFault || now.Sub(js.keptFrom) < placement.TurnFor+placement.TurnGap {
+	if waited := now.Sub(js.job.Ready); waited < placement.AheadAfter || js.opinion == placement.AtFault || now.Sub(js.advanceSince) < placement.TurnFor+placement.TurnGap {
 		return
 	}
 	var on []*board.Machine
 	for _, zone := range zones {
-		if on = o.placingFor(js, zone).Ahead(o.machinesNow(), s.Tasks, o.endOf); on != nil {
+		if on = o.placingFor(js, zone).Ahead(o.usableMachines(), s.Tasks, o.expectedEnd); on != nil {
 			break
 		}
 	}
@@ -193,22 +193,22 @@
 		return
 	}
 	slog.Info("what comes free is kept for a gang", "job", s.ID, "tasks", s.Tasks, "waited", now.Sub(js.job.Ready))
-	js.keptFrom, js.keptAt = now, now
+	js.advanceSince, js.advanceRenewedAt = now, now
 	attempt = cmp.Or(attempt, o.newAttempt())
 	for index, m := range on {
-		o.reserveAhead(js, index, attempt, m, rq)
+		o.addAdvanceReservation(js, index, attempt, m, rq)
 	}
 }
 
-func (o *Owner) reserveAhead(js *jobState, index int, attempt uint64, m *board.Machine, rq requests) {
-	o.start(js, index, attempt, placement.Choice{Machine: m}, true, rq)
-	a := o.to(rq, m)
+func (o *Owner) addAdvanceReservation(js *jobState, index int, attempt uint64, m *board.Machine, rq requests) {
+	o.addStart(js, index, attempt, placement.Choice{Machine: m}, true, rq)
+	a := o.requestFor(rq, m)
 	a.Starts[len(a.Starts)-1].Ahead = true
 }
 
-// keepsAhead goes on keeping what comes free for a gang, as long as it is not enough on all its
+// renewAdvanceReservations goes on keeping what comes free for a gang, as long as it is not enough on all its
 // machines and its turn lasts; it tells whether it does.
-func (o *Owner) keepsAhead(js *jobState, tasks map[int][]*board.Instance, attempt uint64, now time.Time, rq requests) bool {
+func (o *Owner) renewAdvanceReservations(js *jobState, tasks map[int][]*board.Instance, attempt uint64, now time.Time, rq requests) bool {
 	enough := true
 	for _, list := range tasks {
 		enough = enough && list[0].Machine.Free.Fits(protocol.Room{})
@@ -216,15 +216,15 @@
 	if enough {
 		return false
 	}
-	if now.Sub(js.keptFrom) > placement.TurnFor {
+	if now.Sub(js.advanceSince) > placement.TurnFor {
 		o.stopGang(js, 0, now, rq) // others' turn
-		js.blocked = now.Add(time.Second)
+		js.blockedUntil = now.Add(time.Second)
 		return true
 	}
-	if now.Sub(js.keptAt) >= keepEvery {
-		js.keptAt = now
+	if now.Sub(js.advanceRenewedAt) >= advanceRenewInterval {
+		js.advanceRenewedAt = now
 		for index, list := range tasks {
-			o.reserveAhead(js, index, attempt, list[0].Machine, rq)
+			o.addAdvanceReservation(js, index, attempt, list[0].Machine, rq)
 		}
 	}
 	return true
@@ -263,7 +263,7 @@
 	p := o.placingFor(js, zone)
 	var makeRoom func() (placement.Choice, bool)
 	if evict {
-		makeRoom = func() (placement.Choice, bool) { return o.makeRoom(js, p, nil, now) }
+		makeRoom = func() (placement.Choice, bool) { return o.findPreemption(js, p, nil, now) }
 	}
 	return p.PickGang(js.job.Spec.Tasks, makeRoom)
 }
@@ -280,12 +280,12 @@
 		}
 		looked++
 		if kept {
-			if o.teamRoom(js, 0) { // it counts already
-				o.start(js, index, attempt, placement.Choice{Machine: there[0].Machine}, false, rq)
+			if o.teamLimitAllows(js, 0) { // it counts already
+				o.addStart(js, index, attempt, placement.Choice{Machine: there[0].Machine}, false, rq)
 			}
 			continue
 		}
-		if !o.teamRoom(js, 1) {
+		if !o.teamLimitAllows(js, 1) {
 			break
 		}
 		var lacks []int
@@ -293,8 +293,8 @@
 			o.want(js, []int{index}, attempt, false, now)
 			continue
 		}
-		if c, ok := o.find(js, p, now); ok {
-			o.start(js, index, attempt, c, false, rq)
+		if c, ok := o.findMachine(js, p, now); ok {
+			o.addStart(js, index, attempt, c, false, rq)
 			p.Zones[c.Machine.Zone]++
 		}
 	}
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -268,7 +268,7 @@
 	if old != nil && old.Final() {
 		return
 	}
-	if h.ended = append(h.ended, j.Spec.ID); len(h.ended) > maxFinal {
+	if h.ended = append(h.ended, j.Spec.ID); len(h.ended) > maxFinalJobs {
 		delete(h.jobs, h.ended[0])
 		h.ended = h.ended[1:]
 	}
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -22,9 +22,9 @@
 // as any other task that is missing. Nothing is written for a move: what a job wants
 // stands in its record, and where it runs nowhere but on the machines.
 
-// move takes the next step for replicas of a service that are to be elsewhere, one at a
+// moveReplica takes the next step for replicas of a service that are to be elsewhere, one at a
 // time.
-func (o *Owner) move(js *jobState, now time.Time, rq requests) {
+func (o *Owner) moveReplica(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
 	if s.Shape != protocol.Service || js.job.Final() || js.missing > 0 || len(js.pending) > 0 {
 		return
@@ -47,10 +47,10 @@
 		}
 		switch {
 		case held != nil && on == nil: // what is left of it elsewhere has exited
-			o.start(js, index, held.Attempt, placement.Choice{Machine: held.Machine}, false, rq)
+			o.addStart(js, index, held.Attempt, placement.Choice{Machine: held.Machine}, false, rq)
 			return
 		case held != nil && on != nil && on.Machine.Vacates:
-			o.askStop(on, 0, now, rq)
+			o.requestStop(on, 0, now, rq)
 			return
 		case held != nil || on == nil || !on.Running():
 			return // something is under way already
@@ -58,19 +58,19 @@
 			next = on
 		}
 	}
-	if next == nil || now.Before(js.moveAt) || o.account(js) != "" || !o.teamRoom(js, 1) {
+	if next == nil || now.Before(js.nextMoveAt) || o.account(js) != "" || !o.teamLimitAllows(js, 1) {
 		return
 	}
-	js.moveAt = now.Add(2 * time.Second)
-	if c, ok := o.placeElsewhere(js, next); ok {
-		o.moves++
+	js.nextMoveAt = now.Add(2 * time.Second)
+	if c, ok := o.findMoveTarget(js, next); ok {
+		o.startedMoves++
 		slog.Info("moving", "task", next.Task, "from", next.Machine.ID, "to", c.Machine.ID)
-		o.start(js, next.Index, o.newAttempt(), c, true, rq)
+		o.addStart(js, next.Index, o.newAttempt(), c, true, rq)
 	}
 }
 
-// placeElsewhere finds a machine to which a replica had better move from where it is.
-func (o *Owner) placeElsewhere(js *jobState, from *board.Instance) (placement.Choice, bool) {
+// findMoveTarget finds a machine to which a replica had better move from where it is.
+func (o *Owner) findMoveTarget(js *jobState, from *board.Instance) (placement.Choice, bool) {
 	p := o.placingFor(js, "")
 	p.Zones[from.Machine.Zone]-- // it is gone from there before it starts
 	if p.Zones[from.Machine.Zone] == 0 {
@@ -82,11 +82,11 @@
 	misplaced := p.Dear[from.Machine.Type]
 	most := time.Duration(0)
 	if misplaced {
-		most = mostFetch
+		most = maxMoveFetch
 	}
 	var to []*board.Machine
-	for _, m := range o.machinesNow() {
-		if misplaced && !p.Dear[m.Type] || o.keptByServices(m) {
+	for _, m := range o.usableMachines() {
+		if misplaced && !p.Dear[m.Type] || o.runsService(m) {
 			to = append(to, m)
 		}
 	}
@@ -95,11 +95,11 @@
 	return c, ok && p.Fetch(c.Machine) <= most
 }
 
-// mostFetch is the longest fetch that a replica is moved for.
-const mostFetch = 10 * time.Second
+// maxMoveFetch is the longest fetch that a replica is moved for.
+const maxMoveFetch = 10 * time.Second
 
-// keptByServices tells whether a machine stays for the services on it.
-func (o *Owner) keptByServices(m *board.Machine) bool {
+// runsService tells whether a machine stays for the services on it.
+func (o *Owner) runsService(m *board.Machine) bool {
 	for _, i := range m.Instances {
 		if js := o.jobs[i.Job]; js != nil && !i.Exited() && js.job.Spec.Shape == protocol.Service {
 			return true
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -36,139 +36,139 @@
 	holders map[string]HolderCaller
 	slots   int
 
-	board  *board.Board
-	types  map[string]protocol.MachineType
-	jobs   map[string]*jobState
-	active map[string]*jobState // not final
-	// unclear are the active jobs of which a start's outcome, or what former
+	board        *board.Board
+	machineTypes map[string]protocol.MachineType
+	jobs         map[string]*jobState
+	active       map[string]*jobState // not final
+	// unresolved are the active jobs of which a start's outcome, or what former
 	// owners started, is not known yet.
-	unclear map[string]*jobState
-	machReg map[string]*bookkeeping.Machine
-	rosters map[int]bookkeeping.Roster
-	gone    recent // machines that the registry dropped
+	unresolved         map[string]*jobState
+	registeredMachines map[string]*bookkeeping.Machine
+	rosters            map[int]bookkeeping.Roster
+	removedMachines    recent // machines that the registry dropped
 
-	windows []*bookkeeping.Window // those obeyed in a row without a gap, bounded
-	latest  *bookkeeping.Window
-	born    map[uint64]uint64 // gain window -> jobs created after this revision are new
-	asking  map[uint64]bool
+	windows          []*bookkeeping.Window // those obeyed in a row without a gap, bounded
+	latestWindow     *bookkeeping.Window
+	gainRevisions    map[uint64]uint64 // gain window -> jobs created after this revision are new
+	fetchingRevision map[uint64]bool
 
 	seq      uint64
 	inFlight map[string]bool // holders with a request under way
 	peers    map[string]*peerState
-	// misrouted is told what siblings say of this controller's machines that reported to them.
-	misrouted func(s board.Stray, told bool, heard time.Time)
-	// failing are active jobs of which tasks failed; think is told what is
+	// handleStray is told what siblings say of this controller's machines that reported to them.
+	handleStray func(s board.Stray, told bool, heard time.Time)
+	// failingJobs are active jobs of which tasks failed; think is told what is
 	// thought of them.
-	failing map[string]*jobState
-	judged  time.Time
-	think   func(job string, o placement.Opinion)
+	failingJobs    map[string]*jobState
+	judgedAt       time.Time
+	publishOpinion func(job string, o placement.Opinion)
 
-	// ending and recording: what ends jobs, and other results, is being written.
-	ending, recording bool
-	// ended are jobs that are over and whose records have not been moved yet.
-	ended      map[string]*bookkeeping.Job
-	archiving  bool
-	looking    bool // for jobs that are not known
-	found      func(*bookkeeping.Job)
-	dirty      bool
-	planned    time.Time
-	classes    map[string]*fleet.Class
-	rng        *rand.Rand
-	unmetNeeds map[kind]unmetNeed
-	lately     placement.Lately
+	// writingFinal and writingPartial: what ends jobs, and other results, is being written.
+	writingFinal, writingPartial bool
+	// unarchived are jobs that are over and whose records have not been moved yet.
+	unarchived       map[string]*bookkeeping.Job
+	archiving        bool
+	lookingUp        bool // for jobs that are not known
+	addFinalJob      func(*bookkeeping.Job)
+	dirty            bool
+	plannedAt        time.Time
+	classes          map[string]*fleet.Class
+	rng              *rand.Rand
+	unmetNeeds       map[needKind]unmetNeed
+	recentPlacements placement.Lately
 	// turns are those of teams' large jobs, by team.
 	turns map[string]*placement.Turn
-	// runs are the run times that were seen, held how many tasks wait in this round for room where
+	// runTimes are the run times that were seen, held how many tasks wait in this round for room where
 	// their image is, by image.
-	runs learn.Runs
-	held map[string]int
-	// moves is how many moves of replicas were begun.
-	moves int
-	// wanted are the images of tasks that are not begun, as they were at wantedAt.
-	wanted   map[string]bool
-	wantedAt time.Time
+	runTimes        learn.Runs
+	waitingForImage map[string]int
+	// startedMoves is how many startedMoves of replicas were begun.
+	startedMoves int
+	// wantedImageSet are the images of tasks that are not begun, as they were at wantedAt.
+	wantedImageSet map[string]bool
+	wantedImagesAt time.Time
 
-	// usable, scarceNow and teams are worked out once a round.
-	teams     *teams
-	usable    []*board.Machine
-	scarceNow map[string]bool
+	// usable, scarceNow and teamUsageCache are worked out once a round.
+	teamUsageCache *teamUsage
+	usableCache    []*board.Machine
+	scarceTypes    map[string]bool
 
-	// boots and toldStill serve what is told of jobs that wait; refused are
+	// fleetCache and toldStill serve what is told of jobs that wait; refused are
 	// kinds of machines that the cloud has none of, as a leader knows.
-	boots     boots
-	toldStill time.Time
-	refused   []fleet.Kind
+	fleetCache         fleetSummary
+	standstillLoggedAt time.Time
+	refusedKinds       []fleet.Kind
 
 	quotas quotas
 
-	// othersValid: some sibling says that its session lives; othersHeard: some was heard of
+	// siblingSessionValid: some sibling says that its session lives; siblingHeard: some was heard of
 	// at all. othersServed is when the state service last did what any of them asked, in
 	// milliseconds.
-	othersValid, othersHeard atomic.Bool
-	othersServed             atomic.Int64
+	siblingSessionValid, siblingHeard atomic.Bool
+	siblingServedMs                   atomic.Int64
 }
 
 type peerState struct {
 	incarnation, version uint64
 	fence                uint64 // sequence below which requests are void
-	fed                  uint64 // the incarnation of ours that it answered last
-	valid                bool
-	heard, served        time.Time
+	answeredIncarnation  uint64 // the incarnation of ours that it answered last
+	sessionValid         bool
+	heardAt, servedAt    time.Time
 	generation           int // of its process, as its session's record says
 }
 
 type jobState struct {
 	job *bookkeeping.Job
-	// known is when this controller first saw the job, ready when it saw that
+	// firstSeen is when this controller first saw the job, readyAt when it saw that
 	// all those that it needs are done.
-	known, ready time.Time
+	firstSeen, readyAt time.Time
 	// shares are the blocks of its tasks that are ours to place, in their order.
 	shares []*share
-	// gain is the window since which we own the job itself without a break, 0 if we
+	// gainWindow is the window since which we own the job itself without a break, 0 if we
 	// don't: its owner, who has its first block, records its results and ends it.
-	gain    uint64
-	pending map[int]*pendingStart
-	retryAt map[int]time.Time
-	errors  int
-	// badOn are machines on which tasks of the job failed, each with whether
+	gainWindow uint64
+	pending    map[int]*pendingStart
+	retryAt    map[int]time.Time
+	errorCount int
+	// failedOn are machines on which tasks of the job failed, each with whether
 	// it was sound otherwise; opinion is what is thought of the job for it.
-	badOn   map[string]bool
-	opinion placement.Opinion
-	trials  int
-	trialAt time.Time
-	// waitFrom is since when a running gang lacks a task.
-	waitFrom time.Time
-	blocked  time.Time // no room was found; look again then
-	moveAt   time.Time // no replica is moved before
-	// keptFrom is since when what comes free is kept for it, a gang, keptAt when that was last
+	failedOn    map[string]bool
+	opinion     placement.Opinion
+	trialCount  int
+	nextTrialAt time.Time
+	// incompleteSince is since when a running gang lacks a task.
+	incompleteSince time.Time
+	blockedUntil    time.Time // no room was found; look again then
+	nextMoveAt      time.Time // no replica is moved before
+	// advanceSince is since when what comes free is kept for it, a gang, advanceRenewedAt when that was last
 	// asked for.
-	keptFrom, keptAt time.Time
+	advanceSince, advanceRenewedAt time.Time
 
 	// stale: something changed since it was last reconciled; missing is how many tasks of
 	// settled blocks it found neither done nor begun nor asked for.
-	stale      bool
-	reconciled time.Time
-	recorded   time.Time
-	missing    int
+	stale        bool
+	reconciledAt time.Time
+	recordedAt   time.Time
+	missing      int
 
 	// permits are those of its team's quotas that are not used yet, binds the
 	// account whose limit lets no more start, wantAt when to ask again.
-	permits map[int]*permit
-	binds   string
-	wantAt  time.Time
+	permits           map[int]*permit
+	limitingAccount   string
+	nextPermitRequest time.Time
 }
 
 // NewOwner makes the actor.
-func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, found func(*bookkeeping.Job), think func(string, placement.Opinion), lenders map[string]LendCaller) *Owner {
+func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, addFinalJob func(*bookkeeping.Job), publishOpinion func(string, placement.Opinion), lenders map[string]LendCaller) *Owner {
 	known := board.New()
 	known.StartsLastFor = commandLifetime(c)
-	return &Owner{quotas: newQuotas(c.Quotas, lenders), actor: newActor(ctx), cfg: c, session: session, store: store, holders: holders, found: found, think: think,
-		slots: ring.SlotCount(len(c.Siblings) + 1), board: known, types: map[string]protocol.MachineType{},
-		jobs: map[string]*jobState{}, active: map[string]*jobState{}, unclear: map[string]*jobState{},
-		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), machReg: map[string]*bookkeeping.Machine{},
-		rosters: map[int]bookkeeping.Roster{},
-		born:    map[uint64]uint64{}, asking: map[uint64]bool{}, inFlight: map[string]bool{}, peers: map[string]*peerState{},
-		classes: map[string]*fleet.Class{}, ended: map[string]*bookkeeping.Job{}, failing: map[string]*jobState{}, unmetNeeds: map[kind]unmetNeed{}, turns: map[string]*placement.Turn{}, lately: placement.Lately{HalfLife: latelyHalf}}
+	return &Owner{quotas: newQuotas(c.Quotas, lenders), actor: newActor(ctx), cfg: c, session: session, store: store, holders: holders, addFinalJob: addFinalJob, publishOpinion: publishOpinion,
+		slots: ring.SlotCount(len(c.Siblings) + 1), board: known, machineTypes: map[string]protocol.MachineType{},
+		jobs: map[string]*jobState{}, active: map[string]*jobState{}, unresolved: map[string]*jobState{},
+		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), registeredMachines: map[string]*bookkeeping.Machine{},
+		rosters:       map[int]bookkeeping.Roster{},
+		gainRevisions: map[uint64]uint64{}, fetchingRevision: map[uint64]bool{}, inFlight: map[string]bool{}, peers: map[string]*peerState{},
+		classes: map[string]*fleet.Class{}, unarchived: map[string]*bookkeeping.Job{}, failingJobs: map[string]*jobState{}, unmetNeeds: map[needKind]unmetNeed{}, turns: map[string]*placement.Turn{}, recentPlacements: placement.Lately{HalfLife: recentPlacementHalfLife}}
 }
 
 // Run follows all holders' feeds and runs the actor until its context ends.
@@ -184,7 +184,7 @@
 	id, now := j.Spec.ID, time.Now()
 	js := o.jobs[id]
 	if js == nil {
-		js = &jobState{job: j, known: now, pending: map[int]*pendingStart{}, retryAt: map[int]time.Time{}, badOn: map[string]bool{}}
+		js = &jobState{job: j, firstSeen: now, pending: map[int]*pendingStart{}, retryAt: map[int]time.Time{}, failedOn: map[string]bool{}}
 		o.jobs[id] = js
 		if !j.Final() {
 			o.active[id] = js
@@ -193,35 +193,35 @@
 	}
 	js.job, js.stale = j, true
 	if j.Final() && !j.Archived {
-		o.ended[id] = j
+		o.unarchived[id] = j
 	} else {
-		delete(o.ended, id)
+		delete(o.unarchived, id)
 	}
-	if j.Waits == 0 && js.ready.IsZero() && !j.Final() {
-		js.ready = now
+	if j.Waits == 0 && js.readyAt.IsZero() && !j.Final() {
+		js.readyAt = now
 		o.countArrival(js)
 	}
 	if j.Final() && o.active[id] != nil {
-		if j.With != "" && js.gain != 0 {
+		if j.With != "" && js.gainWindow != 0 {
 			slog.Info("cancelled with another", "job", id, "with", j.With)
 		}
 		delete(o.active, id)
-		delete(o.unclear, id)
+		delete(o.unresolved, id)
 		o.haunt(js)
-		js.pending, js.retryAt, js.badOn, js.permits = nil, nil, nil, nil
+		js.pending, js.retryAt, js.failedOn, js.permits = nil, nil, nil, nil
 	}
 	o.recount(id)
 	o.dirty = true
-	if len(o.jobs) > maxFinal+len(o.active) {
-		o.evict()
+	if len(o.jobs) > maxFinalJobs+len(o.active) {
+		o.evictFinalJobs()
 	}
 }
 
-// maxFinal bounds how many jobs that are over are kept at hand.
-const maxFinal = 8000
+// maxFinalJobs bounds how many jobs that are over are kept at hand.
+const maxFinalJobs = 8000
 
-func (o *Owner) evict() {
-	n := maxFinal / 4
+func (o *Owner) evictFinalJobs() {
+	n := maxFinalJobs / 4
 	for id, js := range o.jobs {
 		if js.job.Final() && o.board.Tasks[id] == nil {
 			delete(o.jobs, id)
@@ -234,14 +234,14 @@
 
 func (o *Owner) machineChanged(id string, m *bookkeeping.Machine) {
 	if m != nil {
-		if !o.gone.has(id) {
-			o.machReg[id] = m
+		if !o.removedMachines.has(id) {
+			o.registeredMachines[id] = m
 		}
 		return
 	}
 	// The registry drops a machine once its return was answered: it is gone.
-	delete(o.machReg, id)
-	o.gone.add(id)
+	delete(o.registeredMachines, id)
+	o.removedMachines.add(id)
 	touched := map[string]bool{}
 	o.board.Remove(id, touched)
 	o.touched(touched)
@@ -250,7 +250,7 @@
 			delete(o.quotas.ghosts, at)
 		}
 	}
-	for _, js := range o.unclear {
+	for _, js := range o.unresolved {
 		for i, ps := range js.pending {
 			if ps.machine == id {
 				delete(js.pending, i)
@@ -262,47 +262,47 @@
 }
 
 const (
-	planEvery = 100 * time.Millisecond
-	// reconcileEvery is how often a job is looked at of which nothing new is known.
-	reconcileEvery = time.Second
+	planInterval = 100 * time.Millisecond
+	// reconcileInterval is how often a job is looked at of which nothing new is known.
+	reconcileInterval = time.Second
 )
 
 func (o *Owner) tick() {
 	now := time.Now()
-	if o.latest != nil && (o.window() == nil || o.latest.Number > o.window().Number) && now.UnixMilli() >= o.latest.StartMs {
-		o.obey(o.latest)
+	if o.latestWindow != nil && (o.window() == nil || o.latestWindow.Number > o.window().Number) && now.UnixMilli() >= o.latestWindow.StartMs {
+		o.obey(o.latestWindow)
 	}
 	o.learnBorn()
-	o.archive()
-	if now.Sub(o.judged) >= time.Second {
-		o.judged = now
+	o.archiveJobs()
+	if now.Sub(o.judgedAt) >= time.Second {
+		o.judgedAt = now
 		o.touched(o.board.DropLost(now))
 		o.judgeJobs(now)
-		o.lookUp()
-		o.tellStandstill(now)
+		o.lookUpUnknownJobs()
+		o.logStandstill(now)
 	}
-	var valid, heard bool
+	var anyValid, anyHeard bool
 	for name, p := range o.peers {
-		lately := name != o.cfg.Name && now.Sub(p.heard) < heardLately
-		valid, heard = valid || lately && p.valid, heard || lately
-		if lately && !p.served.IsZero() {
-			o.othersServed.Store(max(o.othersServed.Load(), p.served.UnixMilli()))
+		recent := name != o.cfg.Name && now.Sub(p.heardAt) < siblingReportTTL
+		anyValid, anyHeard = anyValid || recent && p.sessionValid, anyHeard || recent
+		if recent && !p.servedAt.IsZero() {
+			o.siblingServedMs.Store(max(o.siblingServedMs.Load(), p.servedAt.UnixMilli()))
 		}
 	}
-	o.othersValid.Store(valid)
-	o.othersHeard.Store(heard)
-	if o.dirty && now.Sub(o.planned) >= planEvery || now.Sub(o.planned) > time.Second {
-		o.dirty, o.planned = false, now
+	o.siblingSessionValid.Store(anyValid)
+	o.siblingHeard.Store(anyHeard)
+	if o.dirty && now.Sub(o.plannedAt) >= planInterval || now.Sub(o.plannedAt) > time.Second {
+		o.dirty, o.plannedAt = false, now
 		o.plan(now)
 	}
 }
 
-// heardLately is for how long what a sibling said of itself counts.
-const heardLately = 6 * time.Second
+// siblingReportTTL is for how long what a sibling said of itself counts.
+const siblingReportTTL = 6 * time.Second
 
-// latelyHalf is the half-life of what teams had placed: as long as room takes to come
+// recentPlacementHalfLife is the half-life of what teams had placed: as long as room takes to come
 // free by itself, give or take.
-const latelyHalf = 15 * time.Second
+const recentPlacementHalfLife = 15 * time.Second
 
 // plan works out the difference between what the jobs want and what is, and
 // asks the holders for it.
@@ -317,29 +317,29 @@
 		if len(js.shares) == 0 || js.job.Waits > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
 			continue // there may be thousands that wait for others
 		}
-		if js.stale || now.Sub(js.reconciled) >= reconcileEvery {
-			js.stale, js.reconciled = false, now
+		if js.stale || now.Sub(js.reconciledAt) >= reconcileInterval {
+			js.stale, js.reconciledAt = false, now
 			if out := o.reconcile(js, now, rq); len(out.Tasks) > 0 {
 				js.stale = out.Finishes()
-				if js.stale || now.Sub(js.recorded) >= resultsEvery {
+				if js.stale || now.Sub(js.recordedAt) >= partialResultsInterval {
 					outcomes = append(outcomes, out)
 				}
 			}
 		}
-		if js.missing > 0 && js.job.Waits == 0 && !now.Before(js.blocked) && !o.isKnownUnmet(js, now) && o.onTrial(js, now) {
+		if js.missing > 0 && js.job.Waits == 0 && !now.Before(js.blockedUntil) && !o.isKnownUnmet(js, now) && o.trialAllowed(js, now) {
 			ready = append(ready, js)
 		}
 	}
-	o.record(outcomes)
-	slices.SortFunc(ready, o.sooner)
+	o.recordOutcomes(outcomes)
+	slices.SortFunc(ready, o.compareStartDeadline)
 	placement.TakeTurns(ready, func(js *jobState) placement.Waiting {
 		w := placement.Waiting{Level: -js.job.Rank, Team: js.job.Spec.Team, Tasks: js.missing}
 		if js.job.Filler {
 			w.Level = 1 // behind all other work
 		}
 		return w
-	}, &o.lately, now)
-	o.usable, o.scarceNow, o.teams, o.held = nil, o.scarce(), nil, map[string]int{}
+	}, &o.recentPlacements, now)
+	o.usableCache, o.scarceTypes, o.teamUsageCache, o.waitingForImage = nil, o.findScarceTypes(), nil, map[string]int{}
 	o.addPendingStarts()
 	budget := 64
 	for _, js := range ready {
@@ -356,21 +356,21 @@
 		o.borrow(now)
 	}
 	for name, a := range rq {
-		o.send(name, a)
+		o.sendRequest(name, a)
 	}
 }
 
-// due is what jobs of one priority are ordered by.
-func (o *Owner) due(js *jobState) time.Time {
+// startDeadline is what jobs of one priority are ordered by.
+func (o *Owner) startDeadline(js *jobState) time.Time {
 	if end := js.job.End; !end.IsZero() {
 		return end.Add(-js.job.Spec.Estimate())
 	}
 	return js.job.Ready.Add(time.Minute)
 }
 
-// sooner orders jobs of one priority.
-func (o *Owner) sooner(a, b *jobState) int {
-	return cmp.Or(o.due(a).Compare(o.due(b)), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
+// compareStartDeadline orders jobs of one priority.
+func (o *Owner) compareStartDeadline(a, b *jobState) int {
+	return cmp.Or(o.startDeadline(a).Compare(o.startDeadline(b)), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 }
 
 // addPendingStarts adds up the room of starts that the board does not show yet.
@@ -378,7 +378,7 @@
 	for _, m := range o.board.Machines {
 		m.Promised = protocol.Room{}
 	}
-	for _, js := range o.unclear {
+	for _, js := range o.unresolved {
 		for _, ps := range js.pending {
 			if m := o.board.Machines[ps.machine]; m != nil {
 				m.Promised = m.Promised.Add(ps.need)
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -13,40 +13,40 @@
 
 // The owner's side of placing: what may be used, by whom, and what may be stopped for it.
 
-// machinesNow are the machines on which tasks may be started, as this round
+// usableMachines are the machines on which tasks may be started, as this round
 // sees them.
-func (o *Owner) machinesNow() []*board.Machine {
-	if o.usable != nil {
-		return o.usable
+func (o *Owner) usableMachines() []*board.Machine {
+	if o.usableCache != nil {
+		return o.usableCache
 	}
 	heard := map[string]bool{}
 	for name, p := range o.peers {
-		heard[name] = p.valid && time.Since(p.heard) < 6*time.Second
+		heard[name] = p.sessionValid && time.Since(p.heardAt) < 6*time.Second
 	}
-	o.usable = make([]*board.Machine, 0, len(o.board.Machines))
+	o.usableCache = make([]*board.Machine, 0, len(o.board.Machines))
 	for _, m := range o.board.Machines {
 		if m.Current && m.Usable && heard[m.Holder] {
-			o.usable = append(o.usable, m)
+			o.usableCache = append(o.usableCache, m)
 		}
 	}
-	return o.usable
+	return o.usableCache
 }
 
 // placingFor prepares to place tasks of a job on machines of a zone, or of any
 // if it is empty.
 func (o *Owner) placingFor(js *jobState, zone string) *placement.Placing {
 	s := js.job.Spec
-	p := &placement.Placing{Spec: s, Zone: zone, Avoid: js.badOn, Types: o.types, Scarce: o.scarceNow, Sample: o.cfg.Sample, Rand: o.rng}
-	if s.Shape == protocol.Service && placement.RunsOnOthers(s, o.types, o.scarceNow) {
+	p := &placement.Placing{Spec: s, Zone: zone, Avoid: js.failedOn, Types: o.machineTypes, Scarce: o.scarceTypes, Sample: o.cfg.Sample, Rand: o.rng}
+	if s.Shape == protocol.Service && placement.RunsOnOthers(s, o.machineTypes, o.scarceTypes) {
 		// Other machines can be had in about the time that they take to boot.
-		ready, _ := fleet.Ready(o.types, s, s.ImageGB)
-		p.Keep = time.Since(js.job.Ready) < o.within(s.Class, 0)+ready
+		ready, _ := fleet.Ready(o.machineTypes, s, s.ImageGB)
+		p.Keep = time.Since(js.job.Ready) < o.startObjective(s.Class, 0)+ready
 	}
-	if p.Dear = placement.Dear(s, o.types); p.Dear != nil {
+	if p.Dear = placement.Dear(s, o.machineTypes); p.Dear != nil {
 		// What is late anyway waits for a machine that costs less, as long as there are some.
-		ready, _ := fleet.Ready(o.types, s, s.ImageGB)
-		aim, waited := o.within(s.Class, 0), time.Since(js.job.Ready)
-		p.Shun = waited > aim && waited < aim+2*ready && o.toBeHad(s, p.Dear)
+		ready, _ := fleet.Ready(o.machineTypes, s, s.ImageGB)
+		aim, waited := o.startObjective(s.Class, 0), time.Since(js.job.Ready)
+		p.Shun = waited > aim && waited < aim+2*ready && o.obtainable(s, p.Dear)
 	}
 	if js.opinion == placement.AtFault {
 		p.Avoid = nil // no machine is to blame
@@ -66,41 +66,41 @@
 			}
 		}
 	}
-	p.Gather(o.machinesNow())
+	p.Gather(o.usableMachines())
 	return p
 }
 
-// scarce are the types that some class seen lately cannot do without.
-func (o *Owner) scarce() map[string]bool {
+// findScarceTypes are the types that some class seen lately cannot do without.
+func (o *Owner) findScarceTypes() map[string]bool {
 	return placement.Scarce(func(yield func(*protocol.JobSpec) bool) {
 		for _, c := range o.classes {
 			if !yield(c.Spec) {
 				return
 			}
 		}
-	}, o.types)
+	}, o.machineTypes)
 }
 
-// teams is what the teams' work takes, worked out once a round: for each task that was
-// placed anew, the owner of a large team went through all tasks of all teams, which was
+// teamUsage is what the teamUsage' work takes, worked out once a round: for each task that was
+// placed anew, the owner of a large team went through all tasks of all teamUsage, which was
 // half of its work at 1,500 machines.
-type teams struct {
-	// use is that of tasks on the board, pending that of starts that are under way.
-	use, pending map[string]protocol.Room
-	// strange: the board shows tasks of jobs that are not known, of whatever team.
-	strange bool
+type teamUsage struct {
+	// placed is that of tasks on the board, pending that of starts that are under way.
+	placed, pending map[string]protocol.Room
+	// hasUnknownJobs: the board shows tasks of jobs that are not known, of whatever team.
+	hasUnknownJobs bool
 }
 
-// teamsNow is what the teams' work takes, as this round sees it.
-func (o *Owner) teamsNow() *teams {
-	if o.teams != nil {
-		return o.teams
+// currentTeamUsage is what the teams' work takes, as this round sees it.
+func (o *Owner) currentTeamUsage() *teamUsage {
+	if o.teamUsageCache != nil {
+		return o.teamUsageCache
 	}
-	t := &teams{use: map[string]protocol.Room{}, pending: map[string]protocol.Room{}}
+	t := &teamUsage{placed: map[string]protocol.Room{}, pending: map[string]protocol.Room{}}
 	for job, tasks := range o.board.Tasks {
 		js := o.jobs[job]
 		if js == nil {
-			t.strange = true
+			t.hasUnknownJobs = true
 			continue
 		}
 		s := js.job.Spec
@@ -112,7 +112,7 @@
 				}
 			}
 		}
-		t.use[s.Team] = t.use[s.Team].Add(s.Need().Scale(n))
+		t.placed[s.Team] = t.placed[s.Team].Add(s.Need().Scale(n))
 	}
 	for _, js := range o.active {
 		if n := len(js.pending); n > 0 {
@@ -120,7 +120,7 @@
 			t.pending[s.Team] = t.pending[s.Team].Add(s.Need().Scale(float64(n)))
 		}
 	}
-	o.teams = t
+	o.teamUsageCache = t
 	return t
 }
 
@@ -145,31 +145,31 @@
 	}
 }
 
-// teamRoom tells whether the team's limit leaves room for more. The team's
+// teamLimitAllows tells whether the team's limit leaves room for more. The team's
 // jobs all have one owner, whose board and open requests show all that may be
 // running.
-func (o *Owner) teamRoom(js *jobState, more int) bool {
+func (o *Owner) teamLimitAllows(js *jobState, more int) bool {
 	t := o.cfg.Team(js.job.Spec.Team)
 	if t == nil || !t.Limits(js.job.Spec.Need()) {
 		return t != nil
 	}
-	if o.bornBy(js.gain) == 0 {
+	if o.bornBy(js.gainWindow) == 0 {
 		return false // not everything that runs is known yet
 	}
-	if o.barred(js, t.Name) {
+	if o.blockedByTurn(js, t.Name) {
 		return false
 	}
-	now := o.teamsNow()
-	if now.strange {
+	now := o.currentTeamUsage()
+	if now.hasUnknownJobs {
 		return false // it may be one of the team's
 	}
-	use := now.use[t.Name].Add(now.pending[t.Name]).Add(js.job.Spec.Need().Scale(float64(more)))
+	use := now.placed[t.Name].Add(now.pending[t.Name]).Add(js.job.Spec.Need().Scale(float64(more)))
 	return t.Admits(use)
 }
 
-// barred tells whether a job has to wait since a larger one of its team has its turn, as long as
+// blockedByTurn tells whether a job has to wait since a larger one of its team has its turn, as long as
 // that one waits.
-func (o *Owner) barred(js *jobState, team string) bool {
+func (o *Owner) blockedByTurn(js *jobState, team string) bool {
 	t := o.turns[team]
 	if t == nil || !t.Bars(js.job.Spec.ID, js.job.Rank, time.Now()) {
 		return false
@@ -191,7 +191,7 @@
 	hold := -1      // how many had better wait for room where the image is, -1 if not known yet
 	var lacks []int // tasks that need a permit
 	defer func() { o.want(js, lacks, 0, false, now) }()
-	for index := range js.tasksLeft {
+	for index := range js.remainingTasks {
 		if looked >= 32 {
 			break
 		}
@@ -212,35 +212,35 @@
 		if p == nil {
 			p = o.placingFor(js, "")
 		}
-		if !o.teamRoom(js, 1) {
-			js.blocked = now.Add(500 * time.Millisecond)
+		if !o.teamLimitAllows(js, 1) {
+			js.blockedUntil = now.Add(500 * time.Millisecond)
 			return looked
 		}
-		c, ok := o.find(js, p, now)
+		c, ok := o.findMachine(js, p, now)
 		if !ok {
 			o.noteUnmetNeed(js, now)
 			return looked
 		}
 		if hold < 0 {
-			hold = o.hold(js, p, &c, js.missing, now)
+			hold = o.countWaitingForImage(js, p, &c, js.missing, now)
 		}
 		if js.missing-(looked-1) <= hold && len(c.Evict) == 0 && p.Fetch(c.Machine) > 0 {
-			js.blocked = now.Add(holdFor)
+			js.blockedUntil = now.Add(imageWaitInterval)
 			return looked
 		}
-		o.start(js, index, o.attempt(permit), c, false, rq)
+		o.addStart(js, index, o.attempt(permit), c, false, rq)
 		p.Zones[c.Machine.Zone]++
 		if js.opinion == placement.AtFault {
-			js.tried(now)
+			js.scheduleNextTrial(now)
 			break
 		}
 	}
 	return looked
 }
 
-// tasksLeft goes through the tasks of a job's settled blocks in which some are neither done
+// remainingTasks goes through the tasks of a job's settled blocks in which some are neither done
 // nor begun.
-func (js *jobState) tasksLeft(yield func(int) bool) {
+func (js *jobState) remainingTasks(yield func(int) bool) {
 	for _, sh := range js.shares {
 		if !sh.settled || sh.left <= 0 {
 			continue
@@ -256,60 +256,60 @@
 	}
 }
 
-// find finds a machine with room, or one where room may be made.
-func (o *Owner) find(js *jobState, p *placement.Placing, now time.Time) (placement.Choice, bool) {
+// findMachine finds a machine with room, or one where room may be made.
+func (o *Owner) findMachine(js *jobState, p *placement.Placing, now time.Time) (placement.Choice, bool) {
 	c, ok := p.BestFit()
-	if ok && p.Fetch(c.Machine) <= o.within(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
+	if ok && p.Fetch(c.Machine) <= o.startObjective(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
 		return c, true
 	}
-	if e, found := o.makeRoom(js, p, c.Machine, now); found {
+	if e, found := o.findPreemption(js, p, c.Machine, now); found {
 		return e, true
 	}
 	return c, ok
 }
 
-// holdFor is for how long tasks that wait for room where their image is are left alone.
-const holdFor = 300 * time.Millisecond
+// imageWaitInterval is for how long tasks that wait for room where their image is are left alone.
+const imageWaitInterval = 300 * time.Millisecond
 
-// hold is how many of a job's missing tasks had better wait for room where their image is
+// countWaitingForImage is how many of a job's missing tasks had better wait for room where their image is
 // than be started as chosen.
-func (o *Owner) hold(js *jobState, p *placement.Placing, c *placement.Choice, missing int, now time.Time) int {
+func (o *Owner) countWaitingForImage(js *jobState, p *placement.Placing, c *placement.Choice, missing int, now time.Time) int {
 	fetch := p.Fetch(c.Machine)
 	s := js.job.Spec
 	if fetch == 0 || len(c.Evict) > 0 || o.cfg.Patience == 0 || s.Shape == protocol.Service {
 		return 0 // a service is missed as long as it is not there
 	}
-	rate := p.Ends(o.machinesNow(), o.wantedImages(now), o.endOf)
-	n := placement.Hold(o.cfg.Patience, rate, o.held[s.Image], fetch, now.Sub(js.job.Ready), o.within(s.Class, time.Minute))
-	o.held[s.Image] += min(n, missing)
+	rate := p.Ends(o.usableMachines(), o.wantedImages(now), o.expectedEnd)
+	n := placement.Hold(o.cfg.Patience, rate, o.waitingForImage[s.Image], fetch, now.Sub(js.job.Ready), o.startObjective(s.Class, time.Minute))
+	o.waitingForImage[s.Image] += min(n, missing)
 	return n
 }
 
-// endOf is what is known of when a task ends; services and what is not known never do.
-func (o *Owner) endOf(i *board.Instance) placement.Ending {
+// expectedEnd is what is known of when a task ends; services and what is not known never do.
+func (o *Owner) expectedEnd(i *board.Instance) placement.Ending {
 	js := o.jobs[i.Job]
 	if js == nil || js.job.Spec.Shape == protocol.Service {
 		return placement.Ending{}
 	}
-	return placement.Ending{Need: js.job.Spec.Need(), Mean: o.runs.Mean(js.job.Spec.Class, js.job.Spec.Estimate())}
+	return placement.Ending{Need: js.job.Spec.Need(), Mean: o.runTimes.Mean(js.job.Spec.Class, js.job.Spec.Estimate())}
 }
 
 // wantedImages are the images of jobs, whoever's, of which tasks are not begun. It is worked
 // out once a second.
 func (o *Owner) wantedImages(now time.Time) map[string]bool {
-	if o.wanted == nil || now.Sub(o.wantedAt) >= time.Second {
-		o.wanted, o.wantedAt = map[string]bool{}, now
+	if o.wantedImageSet == nil || now.Sub(o.wantedImagesAt) >= time.Second {
+		o.wantedImageSet, o.wantedImagesAt = map[string]bool{}, now
 		for id, js := range o.active {
-			if s := js.job.Spec; js.job.Waits == 0 && !o.wanted[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
-				o.wanted[s.Image] = true
+			if s := js.job.Spec; js.job.Waits == 0 && !o.wantedImageSet[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
+				o.wantedImageSet[s.Image] = true
 			}
 		}
 	}
-	return o.wanted
+	return o.wantedImageSet
 }
 
-// onlyFiller tells whether all that has to go for a choice is filler work.
-func (o *Owner) onlyFiller(c *placement.Choice) bool {
+// evictsOnlyFiller tells whether all that has to go for a choice is filler work.
+func (o *Owner) evictsOnlyFiller(c *placement.Choice) bool {
 	for _, task := range c.Evict {
 		job, _, _ := protocol.SplitTask(task)
 		if js := o.jobs[job]; js == nil || !js.job.Filler {
@@ -319,50 +319,50 @@
 	return true
 }
 
-// makeRoom finds a machine where stopping other work makes room for a task, if
+// findPreemption finds a machine where stopping other work makes room for a task, if
 // that is better than what there is without (nil: nothing).
-func (o *Owner) makeRoom(js *jobState, p *placement.Placing, free *board.Machine, now time.Time) (placement.Choice, bool) {
+func (o *Owner) findPreemption(js *jobState, p *placement.Placing, free *board.Machine, now time.Time) (placement.Choice, bool) {
 	s := js.job.Spec
 	if js.opinion == placement.AtFault {
 		return placement.Choice{}, false // nothing makes way for what will fail
 	}
 	var use map[string]protocol.Room
 	if t := o.cfg.Team(s.Team); t != nil && t.Guaranteed() {
-		use = o.teamsNow().use
+		use = o.currentTeamUsage().placed
 	}
 	by := o.claim(js.job, use)
-	if by.Rank < placement.Preempts && !by.Guaranteed || now.Sub(js.known) < 500*time.Millisecond {
+	if by.Rank < placement.Preempts && !by.Guaranteed || now.Sub(js.firstSeen) < 500*time.Millisecond {
 		return placement.Choice{}, false
 	}
 	other := math.Inf(1)
 	if free != nil {
 		other = p.Cost(free)
 	}
-	e, found := p.Preempt(o.machinesNow(), other, o.price(by, use, now))
+	e, found := p.Preempt(o.usableMachines(), other, o.price(by, use, now))
 	// Stopping other work is the last resort: as long as the aim leaves time,
 	// room may come free by itself.
-	within := o.within(s.Class, time.Minute)
+	within := o.startObjective(s.Class, time.Minute)
 	if found && free == nil && within-now.Sub(js.job.Ready)-p.Fetch(e.Machine)-10*time.Second >= within/5 {
-		found = o.onlyFiller(&e)
+		found = o.evictsOnlyFiller(&e)
 	}
 	return e, found
 }
 
-// within is how soon the users want tasks of a class to start, if they say.
-func (o *Owner) within(class string, otherwise time.Duration) time.Duration {
-	return o.aim(class, "wait", otherwise)
+// startObjective is how soon the users want tasks of a class to start, if they say.
+func (o *Owner) startObjective(class string, otherwise time.Duration) time.Duration {
+	return o.objective(class, "wait", otherwise)
 }
 
-// aim is the shortest time of the users' aims of a kind for a class.
-func (o *Owner) aim(class, kind string, otherwise time.Duration) time.Duration {
-	within := time.Duration(math.MaxInt64)
+// objective is the shortest time of the users' aims of a kind for a class.
+func (o *Owner) objective(class, kind string, otherwise time.Duration) time.Duration {
+	shortest := time.Duration(math.MaxInt64)
 	for _, a := range o.cfg.Deployment.Objectives {
 		if a.Class == class && a.Kind == kind && a.WithinS > 0 {
-			within = min(within, protocol.Seconds(a.WithinS))
+			shortest = min(shortest, protocol.Seconds(a.WithinS))
 		}
 	}
-	if within == math.MaxInt64 {
+	if shortest == math.MaxInt64 {
 		return otherwise
 	}
-	return within
+	return shortest
 }
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -44,7 +44,7 @@
 // want asks for permits for tasks of a job: attempts of their own, or together all
 // as one attempt.
 func (o *Owner) want(js *jobState, indexes []int, attempt uint64, together bool, now time.Time) {
-	if len(indexes) == 0 || now.Before(js.wantAt) {
+	if len(indexes) == 0 || now.Before(js.nextPermitRequest) {
 		return
 	}
 	w := quota.Want{Job: js.job.Spec.ID, Together: together}
@@ -78,7 +78,7 @@
 		if b == nil {
 			return false
 		}
-		if p := o.peers[b.Holder]; p == nil || p.fed != o.session.Term() {
+		if p := o.peers[b.Holder]; p == nil || p.answeredIncarnation != o.session.Term() {
 			return false
 		}
 	}
@@ -91,7 +91,7 @@
 		for index, p := range js.permits {
 			if !js.mine(index) || p.term != o.session.Term() || now.After(p.until) {
 				delete(js.permits, index)
-				js.wantAt = now.Add(permitPause)
+				js.nextPermitRequest = now.Add(permitPause)
 			}
 		}
 		if len(js.permits) == 0 || o.active[id] != js {
@@ -114,7 +114,7 @@
 				}
 			}
 		}
-		for id, js := range o.unclear {
+		for id, js := range o.unresolved {
 			if js.job.Spec.Team == team {
 				for index, ps := range js.pending {
 					r.Holding = append(r.Holding, quota.Attempt{Task: protocol.TaskName(id, index), Number: ps.attempt})
@@ -167,9 +167,9 @@
 		if js == nil || len(js.shares) == 0 || k >= len(reply.Binds) {
 			continue
 		}
-		js.binds = reply.Binds[k]
-		if js.binds != "" {
-			js.wantAt = now.Add(askAgain)
+		js.limitingAccount = reply.Binds[k]
+		if js.limitingAccount != "" {
+			js.nextPermitRequest = now.Add(askAgain)
 		}
 		for _, at := range w.Attempts {
 			_, index, ok := protocol.SplitTask(at.Task)
@@ -182,7 +182,7 @@
 			o.quotas.permits++
 			js.permits[index] = &permit{reply.Permit, at.Number, r.Term, now.Add(permitLife)}
 			o.quotas.holding[w.Job] = js
-			js.blocked, js.stale, o.dirty = time.Time{}, true, true
+			js.blockedUntil, js.stale, o.dirty = time.Time{}, true, true
 		}
 	}
 	for _, task := range reply.Yield {
@@ -212,7 +212,7 @@
 		for _, i := range o.board.Tasks[job][index] {
 			if !i.Exited() && i.State != protocol.TaskFlushing {
 				slog.Info("task yields its quota", "task", task)
-				o.askStop(i, 2*s.SaveS, now, rq)
+				o.requestStop(i, 2*s.SaveS, now, rq)
 			}
 		}
 	}
@@ -233,7 +233,7 @@
 // said, or, for other owners' jobs, as far as the board shows.
 func (o *Owner) binds(js *jobState, now time.Time) string {
 	if len(js.shares) > 0 || js.job.Final() || o.account(js) == "" {
-		return js.binds
+		return js.limitingAccount
 	}
 	need := js.job.Spec.Need()
 	if js.job.Spec.Shape == protocol.Gang {
--- a/internal/coordination/quota_view.go
+++ b/internal/coordination/quota_view.go
@@ -60,8 +60,8 @@
 	l := o.used(time.Now())
 	waiting := map[string]int{}
 	for _, js := range o.active {
-		if js.binds != "" {
-			waiting[js.binds]++
+		if js.limitingAccount != "" {
+			waiting[js.limitingAccount]++
 		}
 	}
 	accounts := t.Accounts()
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -68,11 +68,11 @@
 }
 
 func (o *Owner) windowChanged(w *bookkeeping.Window) {
-	if o.latest == nil || w.Number > o.latest.Number {
-		if o.latest != nil && (o.window() == nil || o.latest.Number > o.window().Number) {
-			o.obey(o.latest) // it was superseded before it began here
+	if o.latestWindow == nil || w.Number > o.latestWindow.Number {
+		if o.latestWindow != nil && (o.window() == nil || o.latestWindow.Number > o.window().Number) {
+			o.obey(o.latestWindow) // it was superseded before it began here
 		}
-		o.latest = w
+		o.latestWindow = w
 	}
 }
 
@@ -139,7 +139,7 @@
 				begun[gain] = &tenure{gain: gain, seen: map[int]bool{}, settled: born != 0 && js.job.Created > born}
 			}
 			if !begun[gain].settled {
-				o.unclear[js.job.Spec.ID] = js
+				o.unresolved[js.job.Spec.ID] = js
 			}
 			shares = append(shares, &share{block: block, from: from, to: to, tenure: begun[gain], low: from})
 		}
@@ -147,9 +147,9 @@
 	if !changed {
 		return
 	}
-	js.shares, js.gain, js.stale = shares, 0, true
+	js.shares, js.gainWindow, js.stale = shares, 0, true
 	if len(shares) > 0 && shares[0].block == 0 {
-		js.gain = shares[0].gain
+		js.gainWindow = shares[0].gain
 	}
 }
 
@@ -189,19 +189,19 @@
 // first window with these owners, since no part of a range was gained later.
 func (o *Owner) learnBorn() {
 	g := o.presentSince()
-	if g == 0 || o.born[g] != 0 || o.asking[g] || !o.board.AllComplete(o.slots, g) {
+	if g == 0 || o.gainRevisions[g] != 0 || o.fetchingRevision[g] || !o.board.AllComplete(o.slots, g) {
 		return
 	}
-	o.asking[g] = true
+	o.fetchingRevision[g] = true
 	go func() {
 		rev, err := o.store.Revision(o.ctx)
 		o.tell(func() {
-			delete(o.asking, g)
+			delete(o.fetchingRevision, g)
 			if err == nil {
-				if len(o.born) > 64 {
-					clear(o.born)
+				if len(o.gainRevisions) > 64 {
+					clear(o.gainRevisions)
 				}
-				o.born[g] = rev
+				o.gainRevisions[g] = rev
 			}
 		})
 	}()
@@ -211,7 +211,7 @@
 // that are ours since the window given; 0 if none is known yet.
 func (o *Owner) bornBy(gain uint64) uint64 {
 	best := uint64(0)
-	for g, rev := range o.born {
+	for g, rev := range o.gainRevisions {
 		if g >= gain && (best == 0 || rev < best) {
 			best = rev
 		}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -15,11 +15,11 @@
 
 // What is there of a job: results, exits, tasks that must stop.
 
-// lookUp asks for jobs of which machines have tasks and the replica knows
+// lookUpUnknownJobs asks for jobs of which machines have tasks and the replica knows
 // nothing: a controller that starts does not read those that are over, yet
 // what is left of them takes room, and must be stopped and forgotten.
-func (o *Owner) lookUp() {
-	if o.looking || len(o.board.Tasks) == 0 {
+func (o *Owner) lookUpUnknownJobs() {
+	if o.lookingUp || len(o.board.Tasks) == 0 {
 		return
 	}
 	var unknown []string
@@ -31,7 +31,7 @@
 	if len(unknown) == 0 {
 		return
 	}
-	o.looking = true
+	o.lookingUp = true
 	go func() {
 		for _, id := range unknown {
 			j, err := o.store.ReadJob(o.ctx, id)
@@ -39,33 +39,33 @@
 				break
 			}
 			if j != nil && j.Final() { // others come through the replica
-				o.found(j)
+				o.addFinalJob(j)
 			}
 		}
 		pause(o.ctx, time.Second)
-		o.tell(func() { o.looking = false })
+		o.tell(func() { o.lookingUp = false })
 	}()
 }
 
-// archiveEvery is how often records of jobs that are over are moved, and
-// archiveMost how many at a time.
+// archiveInterval is how often records of jobs that are over are moved, and
+// archiveBatchSize how many at a time.
 const (
-	archiveEvery = time.Second
-	archiveMost  = 32
+	archiveInterval  = time.Second
+	archiveBatchSize = 32
 )
 
-// archive has the records of this range's jobs that are over moved to where
+// archiveJobs has the records of this range's jobs that are over moved to where
 // they are not read at a start. It takes what the state service's budget has
 // to spare.
-func (o *Owner) archive() {
-	if o.archiving || len(o.ended) == 0 || !o.session.Valid() {
+func (o *Owner) archiveJobs() {
+	if o.archiving || len(o.unarchived) == 0 || !o.session.Valid() {
 		return
 	}
 	var jobs []*bookkeeping.Job
-	for _, j := range o.ended {
+	for _, j := range o.unarchived {
 		// What unfinished jobs need stays where a controller that starts reads it.
 		if o.window().OwnerOfBlock(j, 0) == o.cfg.Name && !j.Needed {
-			if jobs = append(jobs, j); len(jobs) == archiveMost {
+			if jobs = append(jobs, j); len(jobs) == archiveBatchSize {
 				break
 			}
 		}
@@ -76,20 +76,20 @@
 	o.archiving = true
 	go func() {
 		o.store.Archive(o.ctx, jobs)
-		pause(o.ctx, archiveEvery)
+		pause(o.ctx, archiveInterval)
 		o.tell(func() { o.archiving = false })
 	}()
 }
 
-// resultsEvery is how often results of a job are written that don't finish it:
+// partialResultsInterval is how often results of a job are written that don't finish it:
 // only the last ones are waited for.
-const resultsEvery = time.Second
+const partialResultsInterval = time.Second
 
-// record writes results; a worker may forget one only afterwards. What ends a
+// recordOutcomes writes results; a worker may forget one only afterwards. What ends a
 // job is waited for, by its users and by the jobs that need it: it does not
 // stand in line behind results that end nothing. Of those, jobs with most to
 // tell come first.
-func (o *Owner) record(outcomes []bookkeeping.Outcome) {
+func (o *Owner) recordOutcomes(outcomes []bookkeeping.Outcome) {
 	var ends, results []bookkeeping.Outcome
 	for _, out := range outcomes {
 		if out.Finishes() {
@@ -99,18 +99,18 @@
 		}
 	}
 	slices.SortFunc(results, func(a, b bookkeeping.Outcome) int { return cmp.Compare(len(b.Tasks), len(a.Tasks)) })
-	o.write(&o.ending, transport.Urgent, ends)
-	o.write(&o.recording, transport.Ordinary, results)
+	o.writeOutcomes(&o.writingFinal, transport.Urgent, ends)
+	o.writeOutcomes(&o.writingPartial, transport.Ordinary, results)
 }
 
-// write writes outcomes, one round at a time for those of a kind, as busy says.
-func (o *Owner) write(busy *bool, u transport.Urgency, outcomes []bookkeeping.Outcome) {
+// writeOutcomes writes outcomes, one round at a time for those of a kind, as busy says.
+func (o *Owner) writeOutcomes(busy *bool, u transport.Urgency, outcomes []bookkeeping.Outcome) {
 	if len(outcomes) == 0 || *busy {
 		return
 	}
 	outcomes = outcomes[:min(len(outcomes), o.store.MostOutcomes())]
 	for _, out := range outcomes {
-		o.active[out.Job.Spec.ID].recorded = time.Now()
+		o.active[out.Job.Spec.ID].recordedAt = time.Now()
 	}
 	*busy = true
 	go func() {
@@ -144,9 +144,9 @@
 			if i.Exited() {
 				if i.Cause == protocol.CauseDone {
 					// The holder has it forgotten once the result is recorded.
-					if js.gain != 0 && !j.TaskDone(index) {
+					if js.gainWindow != 0 && !j.TaskDone(index) {
 						out.Tasks = append(out.Tasks, index)
-						o.learn(js, i, now)
+						o.noteRunTime(js, i, now)
 					}
 				} else if sh != nil {
 					o.handleExit(js, index, i, now, rq)
@@ -161,7 +161,7 @@
 			// Two of one task cannot be by our doing; should it happen, the
 			// younger one goes.
 			if sh != nil && !i.Exited() && i.State != board.TaskReserved && (i != keep && len(list) > 1 || j.TaskDone(index)) {
-				o.askStop(i, 0, now, rq)
+				o.requestStop(i, 0, now, rq)
 			}
 		}
 	}
@@ -171,8 +171,8 @@
 			js.missing += sh.left
 		}
 	}
-	o.rescue(js, now, rq)
-	o.move(js, now, rq)
+	o.saveOnLeavingMachines(js, now, rq)
+	o.moveReplica(js, now, rq)
 	if j.Spec.Shape == protocol.Gang && len(out.Tasks) > 0 {
 		out.Tasks = out.Tasks[:0]
 		for t := range j.Spec.Tasks {
@@ -182,17 +182,17 @@
 	return out
 }
 
-// learn notes how long a task ran, once.
-func (o *Owner) learn(js *jobState, i *board.Instance, now time.Time) {
+// noteRunTime notes how long a task ran, once.
+func (o *Owner) noteRunTime(js *jobState, i *board.Instance, now time.Time) {
 	if !i.Ran.IsZero() {
-		o.runs.Note(js.job.Spec.Class, now.Sub(i.Ran))
+		o.runTimes.Note(js.job.Spec.Class, now.Sub(i.Ran))
 		i.Ran = time.Time{}
 	}
 }
 
-// rescue has tasks save what they can on machines that are being taken away;
+// saveOnLeavingMachines has tasks save what they can on machines that are being taken away;
 // the tasks of a gang must all be told.
-func (o *Owner) rescue(js *jobState, now time.Time, rq requests) {
+func (o *Owner) saveOnLeavingMachines(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
 	if !s.Saves() {
 		return
@@ -209,7 +209,7 @@
 				o.stopGang(js, 2*s.SaveS, now, rq)
 				return
 			}
-			o.askStop(i, 2*s.SaveS, now, rq)
+			o.requestStop(i, 2*s.SaveS, now, rq)
 		}
 	}
 }
@@ -223,9 +223,9 @@
 		delay := time.Duration(0)
 		switch i.Cause {
 		case protocol.CauseError:
-			js.errors++
-			if len(js.badOn) >= 3 { // mostly it is the machine's fault: elsewhere at once
-				delay = min(30*time.Second, 500*time.Millisecond<<min(js.errors, 7))
+			js.errorCount++
+			if len(js.failedOn) >= 3 { // mostly it is the machine's fault: elsewhere at once
+				delay = min(30*time.Second, 500*time.Millisecond<<min(js.errorCount, 7))
 			}
 		case "no_room", "in_use", "unknown":
 			delay = time.Second
@@ -234,16 +234,16 @@
 		slog.Info("task exited", "task", i.Task, "machine", i.Machine.ID, "cause", i.Cause)
 	}
 	i.Asked = now
-	a := o.to(rq, i.Machine)
+	a := o.requestFor(rq, i.Machine)
 	keep := i.Cause == protocol.CauseIncomplete && o.account(js) == "" && placement.GangAssembles(o.board.Tasks[i.Job], js.job.Spec.Tasks, func(index int) bool { return js.pending[index] != nil })
 	a.Stops = append(a.Stops, Stop{Task: i.Task, Attempt: i.Attempt, Machine: i.Machine.ID, Forget: true, Keep: keep})
 }
 
-func (o *Owner) askStop(i *board.Instance, grace float64, now time.Time, rq requests) {
+func (o *Owner) requestStop(i *board.Instance, grace float64, now time.Time, rq requests) {
 	if now.Sub(i.Asked) < 2*time.Second {
 		return
 	}
 	i.Asked = now
-	a := o.to(rq, i.Machine)
+	a := o.requestFor(rq, i.Machine)
 	a.Stops = append(a.Stops, Stop{Task: i.Task, Attempt: i.Attempt, Machine: i.Machine.ID, GraceS: grace})
 }
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -62,7 +62,7 @@
 	}
 	k.catalog.Store(c)
 	k.holder.tell(func() { k.holder.types = types })
-	k.owner.tell(func() { k.owner.types = types; k.owner.dirty = true })
+	k.owner.tell(func() { k.owner.machineTypes = types; k.owner.dirty = true })
 	k.leader.tell(func() { k.leader.catalog = c })
 }
 
--- a/internal/coordination/renting.go
+++ b/internal/coordination/renting.go
@@ -52,7 +52,7 @@
 // alone touches what the leader keeps of the fleet.
 func (l *Leader) round(leadFrom time.Time, leadership uint64) {
 	now := time.Now()
-	st := l.owner.fleet(l.ctx, now, l.started)
+	st := l.owner.summarizeFleet(l.ctx, now, l.started)
 	if st == nil || !l.session.Valid() {
 		return
 	}
@@ -218,7 +218,7 @@
 	l.listed = listed
 	var fresh []bookkeeping.Machine
 	for id, m := range listed {
-		if st.reg[id] == nil && !st.seen[id] && m.Status != "failed" && m.AgeS > 10 && !l.owner.isGone(l.ctx, id) {
+		if st.reg[id] == nil && !st.seen[id] && m.Status != "failed" && m.AgeS > 10 && !l.owner.isRemoved(l.ctx, id) {
 			fresh = append(fresh, bookkeeping.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, RentedMs: now.Add(-protocol.Seconds(m.AgeS)).UnixMilli()})
 		}
 	}
@@ -303,7 +303,7 @@
 		}
 	}
 	slices.SortFunc(refused, func(a, b fleet.Kind) int { return strings.Compare(a.String(), b.String()) })
-	l.owner.tell(func() { l.owner.refused = refused })
+	l.owner.tell(func() { l.owner.refusedKinds = refused })
 }
 
 // rent rents machines. A booking's name is made of the controller's term,
@@ -337,7 +337,7 @@
 		}
 		slog.Info("rented", "kind", key, "for", r.Class, "asked", r.Count, "got", len(names.Machines))
 		batch := bookkeeping.RentalBatch{Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedMs: time.Now().UnixMilli(), Machines: names.Machines}
-		l.owner.expect(batch)
+		l.owner.addRentedMachines(batch)
 		l.register(req.Booking, batch)
 	}
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -231,7 +231,7 @@
 		e.state, e.cause, e.saved, e.token = t.State, t.Cause, t.Saved, 0
 		if e.state == protocol.TaskRunning && !e.proven && !e.ran.IsZero() && time.Since(e.ran) >= placement.ProvenAfter {
 			e.proven = true
-			h.succeeded(w)
+			h.noteSuccess(w)
 		}
 	}
 	for name, e := range w.entries {
@@ -275,9 +275,9 @@
 	}
 	switch t.Cause {
 	case protocol.CauseDone:
-		h.succeeded(w)
+		h.noteSuccess(w)
 	case protocol.CauseError:
-		h.failed(w, e.job)
+		h.noteFailure(w, e.job)
 	}
 }
 
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -19,21 +19,21 @@
 type requests map[string]*AskArgs
 
 type pendingStart struct {
-	attempt uint64
-	machine string
-	holder  string
-	inc     uint64
-	slot    int
-	term    uint64
-	id      protocol.Token
-	need    protocol.Room
-	acked   bool
-	unknown bool
-	ackInc  uint64
-	version uint64
+	attempt           uint64
+	machine           string
+	holder            string
+	holderIncarnation uint64
+	slot              int
+	slotTerm          uint64
+	requestID         protocol.Token
+	need              protocol.Room
+	acked             bool
+	outcomeUnknown    bool
+	ackIncarnation    uint64
+	ackVersion        uint64
 }
 
-func (o *Owner) to(rq requests, m *board.Machine) *AskArgs {
+func (o *Owner) requestFor(rq requests, m *board.Machine) *AskArgs {
 	a := rq[m.Holder]
 	if a == nil {
 		a = &AskArgs{Caller: o.cfg.Name}
@@ -49,32 +49,32 @@
 	return uint64(protocol.NewToken(o.session.Term(), o.seq))
 }
 
-// start adds a start to the round's requests.
-func (o *Owner) start(js *jobState, index int, attempt uint64, c placement.Choice, reserve bool, rq requests) {
+// addStart adds a addStart to the round's requests.
+func (o *Owner) addStart(js *jobState, index int, attempt uint64, c placement.Choice, reserve bool, rq requests) {
 	m := c.Machine
 	slog.Debug("placing", "job", js.job.Spec.ID, "index", index, "class", js.job.Spec.Class, "machine", m.ID, "evict", len(c.Evict),
 		"cached", slices.Contains(m.Images, js.job.Spec.Image), "waited", time.Since(js.job.Ready))
-	a := o.to(rq, m)
+	a := o.requestFor(rq, m)
 	a.Starts = append(a.Starts, Start{Task: protocol.TaskName(js.job.Spec.ID, index), Attempt: attempt, Machine: m.ID, Term: m.Term, Evict: c.Evict, Reserve: reserve,
 		Permit: js.used(index).Permit})
-	ps := &pendingStart{attempt: attempt, machine: m.ID, holder: m.Holder, inc: o.peers[m.Holder].incarnation, slot: m.Slot, term: m.Term,
+	ps := &pendingStart{attempt: attempt, machine: m.ID, holder: m.Holder, holderIncarnation: o.peers[m.Holder].incarnation, slot: m.Slot, slotTerm: m.Term,
 		need: js.job.Spec.Need()}
 	js.pending[index] = ps
 	if !reserve || js.job.Spec.Shape != protocol.Gang { // a gang counts once, when it starts
-		o.lately.Placed(js.job.Spec.Team, time.Now())
+		o.recentPlacements.Placed(js.job.Spec.Team, time.Now())
 	}
-	if o.teams != nil {
+	if o.teamUsageCache != nil {
 		team := js.job.Spec.Team
-		o.teams.pending[team] = o.teams.pending[team].Add(ps.need)
+		o.teamUsageCache.pending[team] = o.teamUsageCache.pending[team].Add(ps.need)
 	}
 	js.stale = true
-	o.unclear[js.job.Spec.ID] = js
+	o.unresolved[js.job.Spec.ID] = js
 	m.Promised = m.Promised.Add(ps.need)
 }
 
-// send makes a request of a holder. Its outcome, if it doesn't come in time,
+// sendRequest makes a request of a holder. Its outcome, if it doesn't come in time,
 // is found out by the feed behind a fence.
-func (o *Owner) send(name string, a *AskArgs) {
+func (o *Owner) sendRequest(name string, a *AskArgs) {
 	o.seq++
 	a.ID = protocol.NewToken(o.session.Term(), o.seq)
 	a.Window = o.window().Number
@@ -82,21 +82,21 @@
 	for k, st := range a.Starts {
 		job, index, _ := protocol.SplitTask(st.Task)
 		mine[k] = o.jobs[job].pending[index]
-		mine[k].id = a.ID
+		mine[k].requestID = a.ID
 	}
 	h := o.holders[name]
 	if h == nil {
-		o.answered(name, a, mine, nil, errNotNow)
+		o.handleReply(name, a, mine, nil, errNotNow)
 		return
 	}
 	go func() {
 		var r AskReply
 		err := h.Ask(o.ctx, *a, &r)
-		o.tell(func() { o.answered(name, a, mine, &r, err) })
+		o.tell(func() { o.handleReply(name, a, mine, &r, err) })
 	}()
 }
 
-func (o *Owner) answered(name string, a *AskArgs, mine []*pendingStart, r *AskReply, err error) {
+func (o *Owner) handleReply(name string, a *AskArgs, mine []*pendingStart, r *AskReply, err error) {
 	o.dirty = true
 	refused := errors.Is(err, transport.ErrRefused) || err != nil && err.Error() == errNotNow.Error()
 	if err != nil && !refused {
@@ -111,8 +111,8 @@
 			// Its job is over; what became of the start still counts for quotas.
 			if refused || err == nil && k < len(r.Refused) && r.Refused[k] != "" {
 				delete(o.quotas.ghosts, ghost)
-			} else if mine[k].unknown = err != nil; err == nil {
-				mine[k].acked, mine[k].ackInc, mine[k].version = true, r.Incarnation, r.Version
+			} else if mine[k].outcomeUnknown = err != nil; err == nil {
+				mine[k].acked, mine[k].ackIncarnation, mine[k].ackVersion = true, r.Incarnation, r.Version
 			}
 			continue
 		}
@@ -125,12 +125,12 @@
 			delete(js.pending, index)
 			js.retryAt[index] = time.Now().Add(500 * time.Millisecond)
 		case err != nil:
-			mine[k].unknown = true
+			mine[k].outcomeUnknown = true
 		case k < len(r.Refused) && r.Refused[k] != "":
 			delete(js.pending, index)
 			js.retryAt[index] = time.Now().Add(300 * time.Millisecond)
 		default:
-			mine[k].acked, mine[k].ackInc, mine[k].version = true, r.Incarnation, r.Version
+			mine[k].acked, mine[k].ackIncarnation, mine[k].ackVersion = true, r.Incarnation, r.Version
 			// The feed may have shown it before the answer came.
 			if p := o.peers[name]; o.shown(mine[k], name, p.incarnation, p.version) {
 				delete(js.pending, index)
--- a/internal/coordination/standing.go
+++ b/internal/coordination/standing.go
@@ -38,7 +38,7 @@
 		}
 		st := &standing{job: js.job}
 		if _, st.running = o.placed(id); st.running == 0 && !js.job.Final() {
-			reason, in := o.why(js, time.Now())
+			reason, in := o.waitReason(js, time.Now())
 			st.reason, st.startsIn = reason, seconds(in)
 		}
 		return st
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -123,11 +123,11 @@
 // ownerOf is an owner of all jobs, with one slot, that waits for what others have started of wk-1.
 func ownerOf(t *testing.T) (*Owner, *jobState) {
 	o := &Owner{actor: newActor(context.Background()), cfg: &config.Config{}, board: board.New(), slots: 1, session: &Session{base: time.Now()},
-		peers: map[string]*peerState{"c1": {}, "c2": {}}, unclear: map[string]*jobState{}, active: map[string]*jobState{}, jobs: map[string]*jobState{}, unmetNeeds: map[kind]unmetNeed{}}
+		peers: map[string]*peerState{"c1": {}, "c2": {}}, unresolved: map[string]*jobState{}, active: map[string]*jobState{}, jobs: map[string]*jobState{}, unmetNeeds: map[needKind]unmetNeed{}}
 	o.session.term.Store(1)
-	js := &jobState{job: pendingJob("wk-1"), pending: map[int]*pendingStart{}, known: time.Now().Add(-time.Minute)}
+	js := &jobState{job: pendingJob("wk-1"), pending: map[int]*pendingStart{}, firstSeen: time.Now().Add(-time.Minute)}
 	js.shares = []*share{{to: 1, tenure: &tenure{gain: 4, seen: map[int]bool{}}}}
-	o.unclear["wk-1"], o.active["wk-1"], o.jobs["wk-1"] = js, js, js
+	o.unresolved["wk-1"], o.active["wk-1"], o.jobs["wk-1"] = js, js, js
 	return o, js
 }
 
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -108,9 +108,9 @@
 	if err := k.judge(spec); err != nil {
 		return k.known(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	}
-	with, err := k.needs(ctx, spec)
+	with, err := k.resolveNeeds(ctx, spec)
 	switch {
-	case errors.Is(err, errNever):
+	case errors.Is(err, errUnsatisfiable):
 		return k.known(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	case err != nil:
 		return k.known(ctx, id, nil)
--- a/internal/coordination/why.go
+++ b/internal/coordination/why.go
@@ -15,72 +15,72 @@
 
 // Why jobs wait, and for how long: for users, operators and the log.
 
-// boots is what is on its way: for each type and kind when the next machine
+// fleetSummary is what is on its way: for each type and kind when the next machine
 // should be up. It is worked out once a second and serves all who ask.
-type boots struct {
-	at   time.Time
-	next map[fleet.Kind]time.Duration
-	up   map[fleet.Kind]int
-	come map[fleet.Kind]int
-	used map[fleet.Kind]float64
+type fleetSummary struct {
+	computedAt time.Time
+	nextReady  map[fleet.Kind]time.Duration
+	up         map[fleet.Kind]int
+	booting    map[fleet.Kind]int
+	used       map[fleet.Kind]float64
 }
 
-// fleetNow sums up the machines that are there and those that boot.
-func (o *Owner) fleetNow(now time.Time) *boots {
-	if now.Sub(o.boots.at) < time.Second {
-		return &o.boots
+// currentFleet sums up the machines that are there and those that boot.
+func (o *Owner) currentFleet(now time.Time) *fleetSummary {
+	if now.Sub(o.fleetCache.computedAt) < time.Second {
+		return &o.fleetCache
 	}
-	b := boots{now, map[fleet.Kind]time.Duration{}, map[fleet.Kind]int{}, map[fleet.Kind]int{}, map[fleet.Kind]float64{}}
+	b := fleetSummary{now, map[fleet.Kind]time.Duration{}, map[fleet.Kind]int{}, map[fleet.Kind]int{}, map[fleet.Kind]float64{}}
 	for _, m := range o.board.Machines {
 		k := fleet.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		b.up[k]++
-		if t, ok := o.types[m.Type]; ok {
+		if t, ok := o.machineTypes[m.Type]; ok {
 			b.used[k] += min(1, t.Room().Sub(m.Free).Share(t.Room()))
 		}
 	}
-	for id, m := range o.machReg {
+	for id, m := range o.registeredMachines {
 		if o.board.Machines[id] != nil || o.rosters[ring.SlotOf(id, o.slots)][m.Number()] {
 			continue
 		}
 		k := fleet.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		b.come[k]++
-		t := o.types[m.Type]
+		b.booting[k]++
+		t := o.machineTypes[m.Type]
 		left := protocol.Seconds(t.BootS) - now.Sub(time.UnixMilli(m.RentedMs))
-		if old, ok := b.next[k]; left > 0 && (!ok || left < old) {
-			b.next[k] = left
+		if old, ok := b.nextReady[k]; left > 0 && (!ok || left < old) {
+			b.nextReady[k] = left
 		}
 	}
-	o.boots = b
-	return &o.boots
+	o.fleetCache = b
+	return &o.fleetCache
 }
 
-// why tells why no more of a job's tasks run than do, "" if nothing is missing,
+// waitReason tells waitReason no more of a job's tasks run than do, "" if nothing is missing,
 // and when the next should start, negative if that can't be told.
-func (o *Owner) why(js *jobState, now time.Time) (reason string, in time.Duration) {
+func (o *Owner) waitReason(js *jobState, now time.Time) (reason string, in time.Duration) {
 	s := js.job.Spec
 	w := placement.Wait{Final: js.job.Final(), Held: js.job.Held, Until: js.job.From().Sub(now), Needs: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
 		Missing: s.Tasks - js.job.DoneCount(), Incomplete: !o.board.AllComplete(o.slots, 0), Asked: len(js.pending) > 0,
 		Quota:   o.binds(js, now),
-		Limited: func() bool { return js.gain != 0 && !o.teamRoom(js, 1) },
-		Coming:  func() (time.Duration, bool) { return o.coming(s, now) },
+		Limited: func() bool { return js.gainWindow != 0 && !o.teamLimitAllows(js, 1) },
+		Coming:  func() (time.Duration, bool) { return o.nextBooting(s, now) },
 		Age:     now.Sub(js.job.Ready),
 		Refused: func() bool { return o.noCapacityFor(s) }}
-	w.On(o.board.Tasks[s.ID], js.job.TaskDone, o.types, s.ImageGB, now)
+	w.On(o.board.Tasks[s.ID], js.job.TaskDone, o.machineTypes, s.ImageGB, now)
 	return w.Reason()
 }
 
-// coming tells whether machines that fit a job are on their way, and in how long
+// nextBooting tells whether machines that fit a job are on their way, and in how long
 // the first of them should have its image, negative if they are late.
-func (o *Owner) coming(s *protocol.JobSpec, now time.Time) (ready time.Duration, coming bool) {
+func (o *Owner) nextBooting(s *protocol.JobSpec, now time.Time) (ready time.Duration, coming bool) {
 	ready = -1
-	there := o.fleetNow(now)
-	for k, n := range there.come {
-		t := o.types[k.Type]
+	there := o.currentFleet(now)
+	for k, n := range there.booting {
+		t := o.machineTypes[k.Type]
 		if n == 0 || !s.Allows(k.Type, k.Zone, k.Spot) || !t.Takes(s) {
 			continue
 		}
 		coming = true
-		if left, ok := there.next[k]; ok && (ready < 0 || left+t.FetchTime(s.ImageGB) < ready) {
+		if left, ok := there.nextReady[k]; ok && (ready < 0 || left+t.FetchTime(s.ImageGB) < ready) {
 			ready = left + t.FetchTime(s.ImageGB)
 		}
 	}
@@ -100,7 +100,7 @@
 func (o *Owner) jobView(js *jobState, now time.Time) protocol.JobView {
 	s := js.job.Spec
 	v := protocol.JobView{ID: s.ID, Status: js.job.State, Class: s.Class, Team: s.Team, Shape: s.Shape, Priority: string(s.Priority),
-		AgeS: *seconds(max(0, now.Sub(js.job.Accepted))), Tasks: s.Tasks, Done: js.job.DoneCount(), FailedOn: len(js.badOn)}
+		AgeS: *seconds(max(0, now.Sub(js.job.Accepted))), Tasks: s.Tasks, Done: js.job.DoneCount(), FailedOn: len(js.failedOn)}
 	v.Account = o.account(js)
 	if b := s.Batch; b != nil {
 		v.Name, v.Queue = b.Name, b.Queue
@@ -132,7 +132,7 @@
 	}
 	if !js.job.Final() {
 		var in time.Duration
-		v.Reason, in = o.why(js, now)
+		v.Reason, in = o.waitReason(js, now)
 		v.StartsInS = seconds(in)
 	}
 	return v
@@ -142,10 +142,10 @@
 func (o *Owner) overview() (v protocol.OwnerView) {
 	now := time.Now()
 	if w := o.window(); w != nil {
-		v.Window = &protocol.WindowView{Number: w.Number, Owners: w.Owners, Newest: max(w.Number, o.latest.Number)}
+		v.Window = &protocol.WindowView{Number: w.Number, Owners: w.Owners, Newest: max(w.Number, o.latestWindow.Number)}
 	}
 	v.Slots = o.slotStates()
-	for _, k := range o.refused {
+	for _, k := range o.refusedKinds {
 		v.NoCapacity = append(v.NoCapacity, k.String())
 	}
 	v.Fleet = o.fleetCounts(now)
@@ -170,7 +170,7 @@
 
 // fleetCounts counts machines by type, whatever their zones.
 func (o *Owner) fleetCounts(now time.Time) (all []protocol.FleetCount) {
-	there := o.fleetNow(now)
+	there := o.currentFleet(now)
 	kinds := map[fleet.Kind]*protocol.FleetCount{}
 	count := func(k fleet.Kind) *protocol.FleetCount {
 		k.Zone = ""
@@ -184,7 +184,7 @@
 		c.Up += n
 		c.Used += there.used[k]
 	}
-	for k, n := range there.come {
+	for k, n := range there.booting {
 		count(k).Booting += n
 	}
 	for _, c := range kinds {
@@ -199,13 +199,13 @@
 
 // jobCounts counts the jobs that are not over, and shows those that have waited for longest.
 func (o *Owner) jobCounts(now time.Time) (counts protocol.JobCount, longest []protocol.JobView) {
-	counts = protocol.JobCount{Active: len(o.active), Waiting: map[string]int{}, AsksPending: len(o.unclear), Unmoved: len(o.ended), Moves: o.moves}
-	for _, n := range o.held {
+	counts = protocol.JobCount{Active: len(o.active), Waiting: map[string]int{}, AsksPending: len(o.unresolved), Unmoved: len(o.unarchived), Moves: o.startedMoves}
+	for _, n := range o.waitingForImage {
 		counts.Patient += n
 	}
 	var waiting []*jobState
 	for _, js := range o.active {
-		if js.gain != 0 {
+		if js.gainWindow != 0 {
 			counts.Owned++
 		}
 		if js.job.Needed || len(js.job.Spec.Needs) > 0 {
@@ -214,7 +214,7 @@
 		if js.job.Unclear {
 			counts.Unclear++
 		}
-		if reason, _ := o.why(js, now); reason != "" {
+		if reason, _ := o.waitReason(js, now); reason != "" {
 			counts.Waiting[reason]++
 			waiting = append(waiting, js)
 		}
@@ -235,58 +235,58 @@
 			continue
 		}
 		heard := -1.0
-		if !p.heard.IsZero() {
-			heard = *seconds(now.Sub(p.heard))
+		if !p.heardAt.IsZero() {
+			heard = *seconds(now.Sub(p.heardAt))
 		}
-		all = append(all, protocol.SiblingView{Name: name, Session: p.valid, HeardS: heard, Generation: p.generation})
+		all = append(all, protocol.SiblingView{Name: name, Session: p.sessionValid, HeardS: heard, Generation: p.generation})
 	}
 	return all
 }
 
 // standstillAfter is how long jobs may wait for the first of their tasks to be
-// placed before the log says so, and stillEvery how often it says so again.
+// placed before the log says so, and standstillLogInterval how often it says so again.
 const (
-	standstillAfter = 20 * time.Second
-	stillEvery      = 30 * time.Second
+	standstillAfter       = 20 * time.Second
+	standstillLogInterval = 30 * time.Second
 )
 
-// tellStandstill has the log tell when placement stands still for jobs of this
+// logStandstill has the log tell when placement stands still for jobs of this
 // range, why, and when it goes on.
-func (o *Owner) tellStandstill(now time.Time) {
+func (o *Owner) logStandstill(now time.Time) {
 	reasons := map[string]int{}
 	oldest, total := "", 0
 	var since time.Duration
 	for id, js := range o.active {
-		if js.gain == 0 || js.job.Waits > 0 || now.Sub(js.ready) < standstillAfter || len(o.board.Tasks[id]) > 0 || js.job.DoneCount() > 0 {
+		if js.gainWindow == 0 || js.job.Waits > 0 || now.Sub(js.readyAt) < standstillAfter || len(o.board.Tasks[id]) > 0 || js.job.DoneCount() > 0 {
 			continue
 		}
-		reason, _ := o.why(js, now)
+		reason, _ := o.waitReason(js, now)
 		if reason == "" {
 			continue
 		}
 		reasons[reason]++
 		total++
-		if age := now.Sub(js.ready); age > since {
+		if age := now.Sub(js.readyAt); age > since {
 			oldest, since = id, age
 		}
 	}
 	switch {
-	case total > 0 && now.Sub(o.toldStill) >= stillEvery:
+	case total > 0 && now.Sub(o.standstillLoggedAt) >= standstillLogInterval:
 		slog.Info("placement waits", "jobs", total, "why", reasons, "longest", oldest, "for", since.Round(time.Second))
-		o.toldStill = now
-	case total == 0 && !o.toldStill.IsZero():
+		o.standstillLoggedAt = now
+	case total == 0 && !o.standstillLoggedAt.IsZero():
 		slog.Info("placement goes on")
-		o.toldStill = time.Time{}
+		o.standstillLoggedAt = time.Time{}
 	}
 }
 
 // noCapacityFor tells whether the cloud refused every kind of machine that the
 // job may use, as far as this controller knows: only the leader does.
 func (o *Owner) noCapacityFor(s *protocol.JobSpec) bool {
-	return len(o.refused) > 0 && !o.toBeHad(s, nil)
+	return len(o.refusedKinds) > 0 && !o.obtainable(s, nil)
 }
 
-// toBeHad tells whether the cloud may have machines for a job, of other types than some.
-func (o *Owner) toBeHad(s *protocol.JobSpec, but map[string]bool) bool {
-	return fleet.ToBeHad(o.types, s, func(k fleet.Kind) bool { return !but[k.Type] && !slices.Contains(o.refused, k) })
+// obtainable tells whether the cloud may have machines for a job, of other types than some.
+func (o *Owner) obtainable(s *protocol.JobSpec, but map[string]bool) bool {
+	return fleet.ToBeHad(o.machineTypes, s, func(k fleet.Kind) bool { return !but[k.Type] && !slices.Contains(o.refusedKinds, k) })
 }
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -127,7 +127,7 @@
 	}
 	h.expireOpenStarts(w, now)
 	if !w.doubted.IsZero() {
-		h.judge(w)
+		h.judgeMachine(w)
 	}
 	h.noteResponsiveness(w, now)
 	if w.settled && len(h.changedJobs) == 0 {
