--- a/internal/coordination/blame.go
+++ b/internal/coordination/blame.go
@@ -30,23 +30,23 @@
 
 // judgeMachine brings up to date what is thought of a machine.
 func (h *Holder) judgeMachine(w *worker) {
-	var by []placement.Opinion
+	var opinions []placement.Opinion
 	for job := range w.errorsBy {
-		j, o := h.jobs[job], h.opinions[job]
+		j, opinion := h.jobs[job], h.opinions[job]
 		switch {
 		case j != nil && j.State == protocol.Done:
-			o = placement.Innocent
+			opinion = placement.Innocent
 		case j != nil && j.Final():
 			delete(w.errorsBy, job) // cancelled: it will never be known
 			continue
 		}
-		by = append(by, o)
+		opinions = append(opinions, opinion)
 	}
 	doubted := time.Duration(0)
 	if !w.doubted.IsZero() {
 		doubted = time.Since(w.doubted)
 	}
-	doubt, suspect := placement.JudgeMachine(by, doubted)
+	doubt, suspect := placement.JudgeMachine(opinions, doubted)
 	if doubt != !w.doubted.IsZero() {
 		w.doubted = time.Time{}
 		if doubt {
@@ -57,16 +57,16 @@
 	if suspect != w.suspect {
 		w.suspect = suspect
 		h.touch(w)
-		slog.Info("machine judged", "machine", w.id, "suspect", suspect, "failed", len(by))
+		slog.Info("machine judged", "machine", w.id, "suspect", suspect, "failed", len(opinions))
 	}
 }
 
 // setOpinion takes in what is thought of a job.
-func (h *Holder) setOpinion(job string, o placement.Opinion) {
+func (h *Holder) setOpinion(job string, opinion placement.Opinion) {
 	if j := h.jobs[job]; j == nil || j.Final() {
 		return
 	}
-	h.opinions[job] = o
+	h.opinions[job] = opinion
 	for _, w := range h.byID {
 		if w.errorsBy[job] {
 			h.judgeMachine(w)
@@ -97,18 +97,18 @@
 			delete(o.failingJobs, id)
 			continue
 		}
-		was := js.opinion
-		if was == placement.Innocent {
+		previous := js.opinion
+		if previous == placement.Innocent {
 			continue
 		}
 		js.opinion = placement.JudgeJob(js.failedOn, o.hasSucceeded(js, now))
-		if js.opinion == was {
+		if js.opinion == previous {
 			continue
 		}
 		if js.opinion == placement.AtFault {
 			slog.Info("job fails everywhere", "job", id, "machines", len(js.failedOn))
 			js.trialCount, js.nextTrialAt = 0, now.Add(placement.TrialAfter)
-		} else if was == placement.AtFault {
+		} else if previous == placement.AtFault {
 			slog.Info("job fails no longer", "job", id)
 		}
 		js.stale = true
@@ -137,16 +137,16 @@
 	if js.opinion != placement.AtFault {
 		return true
 	}
-	there := len(js.pending) > 0
+	anyInstance := len(js.pending) > 0
 	for _, list := range o.board.Tasks[js.job.Spec.ID] {
 		for _, i := range list {
-			there = there || !i.Exited()
+			anyInstance = anyInstance || !i.Exited()
 		}
 	}
-	if js.job.Spec.Shape == protocol.Gang && there {
+	if js.job.Spec.Shape == protocol.Gang && anyInstance {
 		return true // its trial is under way
 	}
-	return !there && !now.Before(js.nextTrialAt)
+	return !anyInstance && !now.Before(js.nextTrialAt)
 }
 
 // scheduleNextTrial puts the next trial off.
--- a/internal/coordination/chains.go
+++ b/internal/coordination/chains.go
@@ -37,7 +37,7 @@
 // would have to be looked up by every controller that starts. with is one that
 // was cancelled. What is found is kept for a retry: a list of jobs long over
 // may take several.
-func (k *Controller) resolveNeeds(ctx context.Context, spec *protocol.JobSpec) (with string, err error) {
+func (k *Controller) resolveNeeds(ctx context.Context, spec *protocol.JobSpec) (cancelledWith string, err error) {
 	if len(spec.Needs) == 0 {
 		return "", nil
 	}
@@ -65,7 +65,7 @@
 	if err := k.readUnknownNeeds(ctx, spec, known); err != nil {
 		return "", err
 	}
-	var open []string
+	var unfinished []string
 	for _, id := range spec.Needs {
 		j := known[id]
 		switch {
@@ -74,13 +74,13 @@
 		case j.Spec.Shape == protocol.Service:
 			return "", fmt.Errorf("%w: %s is a service, which is never done", errUnsatisfiable, id)
 		case j.State == protocol.Cancelled:
-			with = cmp.Or(j.With, id)
+			cancelledWith = cmp.Or(j.With, id)
 		case j.State != protocol.Done:
-			open = append(open, id)
+			unfinished = append(unfinished, id)
 		}
 	}
-	spec.Needs = open
-	return with, nil
+	spec.Needs = unfinished
+	return cancelledWith, nil
 }
 
 // readUnknownNeeds reads the jobs that a submission names and that are not known, most
@@ -88,12 +88,12 @@
 // they turn out to lie. That one was never accepted is proved by reads that begin
 // after the submission.
 func (k *Controller) readUnknownNeeds(ctx context.Context, spec *protocol.JobSpec, known map[string]*bookkeeping.Job) error {
-	most := 1
+	pageSize := 1
 	for _, id := range spec.Needs { // sorted, as the records are
 		if known[id] != nil || id == spec.ID {
 			continue
 		}
-		listed, err := k.store.ListOver(ctx, id, most)
+		listed, err := k.store.ListOver(ctx, id, pageSize)
 		if err == nil && listed[id] == nil {
 			listed[id], err = k.store.ReadJob(ctx, id)
 		}
@@ -113,10 +113,10 @@
 				}
 			}
 		}
-		if 4*hits >= most {
-			most = min(2*most, transport.MaxPage)
+		if 4*hits >= pageSize {
+			pageSize = min(2*pageSize, transport.MaxPage)
 		} else {
-			most = max(1, most/2)
+			pageSize = max(1, pageSize/2)
 		}
 	}
 	return nil
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -26,40 +26,40 @@
 // A controller was cut off, lost its range and got it back in a later window
 // that it has not seen yet. What it asks by the old window must be refused:
 // its picture leaves out what others started in between.
-func TestOwnersMustKnowTheWindowThatMadeThemOwners(t *testing.T) {
+func TestRequestsUnderOutdatedWindowsAreRefused(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), fences: map[string]protocol.Token{},
 		session: &Session{base: time.Now()}}
 	h.session.until.Store(int64(time.Hour))
 	window := func(n uint64, owners ...string) *bookkeeping.Window {
 		return &bookkeeping.Window{Number: n, Owners: owners}
 	}
-	asks := func(by uint64) bool {
-		_, ok := h.serve(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: by})
+	accepts := func(window uint64) bool {
+		_, ok := h.serve(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: window})
 		return ok
 	}
 	h.obey(window(1, "c0", "c1"))
 	h.obey(window(2, "c0", "c1"))
-	if !asks(1) || !asks(2) || asks(3) {
+	if !accepts(1) || !accepts(2) || accepts(3) {
 		t.Error("equal windows in a row hand over without a pause, later ones are not obeyed yet")
 	}
 	h.obey(window(3, "c1"))
 	h.obey(window(4, "c0", "c1"))
-	if asks(2) || !asks(4) {
+	if accepts(2) || !accepts(4) {
 		t.Error("an owner that goes by a window from before it lost its range was served")
 	}
 	h.obey(window(6, "c0", "c1"))
-	if asks(4) {
+	if accepts(4) {
 		t.Error("a window was skipped: its owners are not known")
 	}
 	h.fences["c0"] = protocol.NewToken(2, 0)
-	if asks(6) {
+	if accepts(6) {
 		t.Error("a request from before the fence was served")
 	}
 }
 
 // A gang that must share a zone goes where all its tasks have their image
 // soonest, not to the first zone that has room.
-func TestGangsGoWhereTheirImageIs(t *testing.T) {
+func TestGangsPreferTheZoneThatHasTheirImage(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
 	if err != nil {
 		t.Fatal(err)
@@ -98,9 +98,9 @@
 // A holder took a start on and gave the slot up before its news showed it.
 // The start must stay pending until the slot's next holder knows all: once it
 // was taken for void, and the task ran twice.
-func TestStartsOutliveTheHolderThatTookThem(t *testing.T) {
+func TestPendingStartsSurviveAHandover(t *testing.T) {
 	o := &Owner{board: board.New()}
-	news := func(holder string, inc, version, term uint64, complete bool, slots ...int) *board.News {
+	applyNews := func(holder string, inc, version, term uint64, complete bool, slots ...int) *board.News {
 		r := &board.News{Incarnation: inc, Version: version, Window: 1, Valid: true}
 		for _, s := range slots {
 			r.Slots = append(r.Slots, board.SlotView{Slot: s, Term: term, Complete: complete})
@@ -108,33 +108,33 @@
 		o.board.Apply(holder, r, time.Now(), time.Now())
 		return r
 	}
-	open := func(ps *pendingStart, holder string, r *board.News) bool {
-		return !o.resolved(ps, holder, &FeedArgs{Fence: protocol.NewToken(1, 100)}, r)
+	pending := func(start *pendingStart, holder string, r *board.News) bool {
+		return !o.resolved(start, holder, &FeedArgs{Fence: protocol.NewToken(1, 100)}, r)
 	}
-	news("c0", 1, 10, 5, true, 0, 3)
+	applyNews("c0", 1, 10, 5, true, 0, 3)
 	acked := &pendingStart{machine: "m", holder: "c0", holderIncarnation: 1, slot: 3, slotTerm: 5, requestID: protocol.NewToken(1, 7), acked: true, ackIncarnation: 1, ackVersion: 12}
 	lost := &pendingStart{machine: "m", holder: "c0", holderIncarnation: 1, slot: 3, slotTerm: 5, requestID: protocol.NewToken(1, 8), outcomeUnknown: true}
-	if r := news("c0", 1, 11, 5, true, 0, 3); !open(acked, "c0", r) {
+	if r := applyNews("c0", 1, 11, 5, true, 0, 3); !pending(acked, "c0", r) {
 		t.Error("resolved by news from before the start")
 	}
-	if r := news("c0", 1, 13, 5, true, 0); !open(acked, "c0", r) || !open(lost, "c0", r) {
+	if r := applyNews("c0", 1, 13, 5, true, 0); !pending(acked, "c0", r) || !pending(lost, "c0", r) {
 		t.Error("resolved by news of a holder that had given the slot up")
 	}
-	if r := news("c1", 2, 4, 6, false, 3); !open(acked, "c1", r) {
+	if r := applyNews("c1", 2, 4, 6, false, 3); !pending(acked, "c1", r) {
 		t.Error("resolved while the new holder does not know all yet")
 	}
-	if r := news("c1", 2, 5, 6, true, 3); open(acked, "c1", r) || open(lost, "c1", r) {
+	if r := applyNews("c1", 2, 5, 6, true, 3); pending(acked, "c1", r) || pending(lost, "c1", r) {
 		t.Error("still open although the new holder knows all")
 	}
-	held := &pendingStart{machine: "m", holder: "c1", holderIncarnation: 2, slot: 3, slotTerm: 6, requestID: protocol.NewToken(1, 9), acked: true, ackIncarnation: 2, ackVersion: 6}
-	if r := news("c1", 2, 6, 6, true, 3); open(held, "c1", r) {
+	covered := &pendingStart{machine: "m", holder: "c1", holderIncarnation: 2, slot: 3, slotTerm: 6, requestID: protocol.NewToken(1, 9), acked: true, ackIncarnation: 2, ackVersion: 6}
+	if r := applyNews("c1", 2, 6, 6, true, 3); pending(covered, "c1", r) {
 		t.Error("still open although the holder's news covers it")
 	}
 }
 
 // Work of a team beyond its guarantee may be stopped for a team within its
 // own, whatever the priorities; otherwise only lower priorities go.
-func TestWhatMayBeStopped(t *testing.T) {
+func TestPreemptionBetweenTeams(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "cpus = 8.0\n", "cpus = 4.0\n"), "")
 	if err != nil {
 		t.Fatal(err)
@@ -150,8 +150,8 @@
 	if !o.claim(job("free", "idle"), use).Guaranteed || o.claim(job("bound", "idle"), use).Guaranteed {
 		t.Error("4 of 8 cores leave room for 4 more; 8 of 4 don't")
 	}
-	for _, x := range []struct {
-		victim, by *bookkeeping.Job
+	for _, c := range []struct {
+		victim, claimant *bookkeeping.Job
 		want       bool
 	}{
 		{job("bound", "high"), job("free", "idle"), true},
@@ -161,8 +161,8 @@
 		{job("free", "normal"), needed(job("free", "idle")), true},
 		{needed(job("free", "idle")), job("free", "high"), false},
 	} {
-		if got := placement.MayStop(o.claim(x.victim, use), o.claim(x.by, use)); got != x.want {
-			t.Errorf("%d of %s for %d of %s: %v", x.victim.Rank, x.victim.Spec.Team, x.by.Rank, x.by.Spec.Team, got)
+		if got := placement.MayStop(o.claim(c.victim, use), o.claim(c.claimant, use)); got != c.want {
+			t.Errorf("%d of %s for %d of %s: %v", c.victim.Rank, c.victim.Spec.Team, c.claimant.Rank, c.claimant.Spec.Team, got)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 // Whatever part of the ring a controller inherits, it must come to know that
 // it knows all: once it looked at one token of its range alone, which it had
 // owned before, and a team with a limit that it had inherited waited for ever.
-func TestHeirsComeToKnowAll(t *testing.T) {
+func TestNewOwnersLearnTheGainRevision(t *testing.T) {
 	o := &Owner{actor: newActor(context.Background()), cfg: &config.Config{}}
 	o.cfg.Name = "c0"
 	for n, owners := range [][]string{controllers, controllers, {"c0", "c1"}, {"c0", "c1"}, {"c0", "c1"}} {
@@ -202,19 +202,19 @@
 // The admission check goes by blocks: whoever owns a job has no business with the blocks that
 // are another's, and a window that divides jobs anew voids what was asked under the one
 // before, though all ranges stay as they are.
-func TestAdmissionKnowsBlocks(t *testing.T) {
+func TestAdmissionChecksTheOwnerOfTheBlock(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
 		jobs: map[string]*bookkeeping.Job{}, byID: map[string]*worker{}, slots: map[int]*heldSlot{}}
 	s := &protocol.JobSpec{ID: "wk-1", Shape: protocol.Array, Tasks: 3 * bookkeeping.BlockTasks}
 	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, Seat: bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s)}}
 	slot := &heldSlot{}
 	h.jobs[s.ID], h.slots[0], h.byID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
-	ask := func(caller string, index int) string {
+	refusal := func(caller string, index int) string {
 		return h.start(&AskArgs{Caller: caller}, Start{Task: protocol.TaskName(s.ID, index), Machine: "host-1"}, time.Now())
 	}
 	h.obey(&bookkeeping.Window{Number: 5, Owners: controllers})
-	own := h.window.Owner(j.Token)
-	if why := ask(own, s.Tasks-1); why == "not the owner" {
+	jobOwner := h.window.Owner(j.Token)
+	if reason := refusal(jobOwner, s.Tasks-1); reason == "not the owner" {
 		t.Error("undivided, the job's owner places all of it")
 	}
 	h.obey(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
@@ -223,12 +223,12 @@
 	}
 	for index := 0; index < s.Tasks; index += bookkeeping.BlockTasks {
 		for _, caller := range controllers {
-			if refused := ask(caller, index) == "not the owner"; refused != (caller != h.window.OwnerOf(j, index)) {
+			if refused := refusal(caller, index) == "not the owner"; refused != (caller != h.window.OwnerOf(j, index)) {
 				t.Errorf("task %d for %s: refused is %v", index, caller, refused)
 			}
 		}
 	}
-	if own == h.window.OwnerOf(j, s.Tasks-1) {
+	if jobOwner == h.window.OwnerOf(j, s.Tasks-1) {
 		t.Error("the last block is the job's owner's: nothing was tried")
 	}
 }
@@ -236,7 +236,7 @@
 // A leader wants a machine kept free that it believes to be idle. If a task was
 // asked for there meanwhile, the wish comes too late; and it is over when the
 // leader no longer has it, also one whose session is older than the last one's.
-func TestWishesToDrain(t *testing.T) {
+func TestDrainRequests(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, byID: map[string]*worker{}}
 	for _, id := range []string{"host-1", "host-2", "host-3"} {
 		h.byID[id] = &worker{id: id, slot: &heldSlot{}, entries: map[string]*entry{}}
@@ -244,7 +244,7 @@
 	h.byID["host-2"].entries["wk-1/0"] = &entry{task: "wk-1/0", state: board.TaskReserved}
 	h.byID["host-3"].entries["wk-1/1"] = &entry{task: "wk-1/1", state: protocol.TaskRunning}
 	h.byID["host-3"].suspect = true
-	free := func() (ids []string) {
+	drained := func() (ids []string) {
 		for id, w := range h.byID {
 			if time.Now().Before(w.drainTill) {
 				ids = append(ids, id)
@@ -254,18 +254,18 @@
 		return ids
 	}
 	h.drain(&DrainArgs{Wish: 100, Machines: []string{"host-1", "host-2", "host-3"}})
-	if got := free(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.byID["host-2"].entries) != 1 {
+	if got := drained(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.byID["host-2"].entries) != 1 {
 		t.Errorf("kept free: %v", got)
 	}
 	if v := h.view(h.byID["host-1"]); v.Drained != 100 {
 		t.Errorf("empty since wish %d", v.Drained)
 	}
 	h.drain(&DrainArgs{Wish: 90, Machines: nil})
-	if got := free(); len(got) != 2 {
+	if got := drained(); len(got) != 2 {
 		t.Errorf("a former leader's wish counted: %v", got)
 	}
 	h.drain(&DrainArgs{Wish: 101, Machines: []string{"host-1"}})
-	if got := free(); !slices.Equal(got, []string{"host-1"}) || h.byID["host-1"].drainWish != 100 {
+	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.byID["host-1"].drainWish != 100 {
 		t.Errorf("kept free: %v", got)
 	}
 }
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -24,11 +24,11 @@
 }
 
 // addRentedMachines notes rented machines before the records show them.
-func (o *Owner) addRentedMachines(l bookkeeping.RentalBatch) {
+func (o *Owner) addRentedMachines(batch bookkeeping.RentalBatch) {
 	o.ask(o.ctx, func() {
-		for _, id := range l.Machines {
+		for _, id := range batch.Machines {
 			if o.registeredMachines[id] == nil && !o.removedMachines.has(id) {
-				o.registeredMachines[id] = l.Machine(id)
+				o.registeredMachines[id] = batch.Machine(id)
 			}
 		}
 	})
@@ -167,7 +167,7 @@
 func (o *Owner) demands(now, started time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	affordable := o.affordable()
-	rates, ahead := o.completionRates(now), map[string]int{}
+	rates, waitingForImage := o.completionRates(now), map[string]int{}
 	limits := o.remainingTeamLimits()
 	for _, js := range o.activeJobsByUrgency() {
 		if js.job.Waits > 0 || js.opinion == placement.AtFault {
@@ -178,8 +178,8 @@
 		if missing <= 0 {
 			continue
 		}
-		if left := limits[s.Team]; left != nil {
-			missing = left.Take(s, missing)
+		if allowance := limits[s.Team]; allowance != nil {
+			missing = allowance.Take(s, missing)
 		}
 		if n, bound := affordable[s.ID]; bound {
 			missing = min(missing, n)
@@ -188,8 +188,8 @@
 			continue
 		}
 		if _, fetch := fleet.Ready(o.machineTypes, s, s.ImageGB); fetch > 0 && s.Shape != protocol.Service {
-			n := min(missing, placement.Hold(o.cfg.Patience, rates[s.Image], ahead[s.Image], fetch, now.Sub(js.job.Ready), o.startObjective(s.Class, time.Minute)))
-			ahead[s.Image] += n
+			n := min(missing, placement.Hold(o.cfg.Patience, rates[s.Image], waitingForImage[s.Image], fetch, now.Sub(js.job.Ready), o.startObjective(s.Class, time.Minute)))
+			waitingForImage[s.Image] += n
 			if missing -= n; missing <= 0 {
 				continue // room where their image is comes sooner than a machine
 			}
@@ -304,11 +304,11 @@
 // it was ready if nobody says.
 func (o *Owner) targetFinish(js *jobState) time.Time {
 	j := js.job
-	by := j.Ready.Add(o.objective(j.Spec.Class, "finished", 0))
-	if !j.End.IsZero() && (by.Equal(j.Ready) || j.Needed && j.End.Before(by)) {
+	target := j.Ready.Add(o.objective(j.Spec.Class, "finished", 0))
+	if !j.End.IsZero() && (target.Equal(j.Ready) || j.Needed && j.End.Before(target)) {
 		return j.End
 	}
-	return by
+	return target
 }
 
 // maxClasses bounds the classes of which arrivals are counted.
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -115,9 +115,9 @@
 	if s.Tasks == 1 {
 		return
 	}
-	was, waited := o.turns[s.Team], now.Sub(js.job.Ready)
-	o.turns[s.Team] = was.Next(s.ID, js.job.Rank, waited, now)
-	if o.turns[s.Team] != was {
+	previous, waited := o.turns[s.Team], now.Sub(js.job.Ready)
+	o.turns[s.Team] = previous.Next(s.ID, js.job.Rank, waited, now)
+	if o.turns[s.Team] != previous {
 		slog.Info("a gang's turn within its team's limit", "job", s.ID, "team", s.Team, "tasks", s.Tasks, "waited", waited)
 	}
 }
@@ -156,12 +156,12 @@
 // only if no zone has room otherwise where other work has to make room.
 func (o *Owner) pickGangInZones(js *jobState, zones []string, now time.Time) (picks []placement.Choice) {
 	for _, evict := range []bool{false, true} {
-		var soonest time.Duration
+		var shortestFetch time.Duration
 		for _, zone := range zones {
 			// All wait for the one that has its image last. Once, the first zone
 			// with room was taken, while another had the image.
-			if found, fetch := o.pickGang(js, zone, evict, now); found != nil && (picks == nil || fetch < soonest) {
-				picks, soonest = found, fetch
+			if found, fetch := o.pickGang(js, zone, evict, now); found != nil && (picks == nil || fetch < shortestFetch) {
+				picks, shortestFetch = found, fetch
 			}
 		}
 		if picks != nil {
@@ -183,19 +183,19 @@
 	if waited := now.Sub(js.job.Ready); waited < placement.AheadAfter || js.opinion == placement.AtFault || now.Sub(js.advanceSince) < placement.TurnFor+placement.TurnGap {
 		return
 	}
-	var on []*board.Machine
+	var machines []*board.Machine
 	for _, zone := range zones {
-		if on = o.placingFor(js, zone).Ahead(o.usableMachines(), s.Tasks, o.expectedEnd); on != nil {
+		if machines = o.placingFor(js, zone).Ahead(o.usableMachines(), s.Tasks, o.expectedEnd); machines != nil {
 			break
 		}
 	}
-	if on == nil {
+	if machines == nil {
 		return
 	}
 	slog.Info("what comes free is kept for a gang", "job", s.ID, "tasks", s.Tasks, "waited", now.Sub(js.job.Ready))
 	js.advanceSince, js.advanceRenewedAt = now, now
 	attempt = cmp.Or(attempt, o.newAttempt())
-	for index, m := range on {
+	for index, m := range machines {
 		o.addAdvanceReservation(js, index, attempt, m, rq)
 	}
 }
@@ -209,11 +209,11 @@
 // renewAdvanceReservations goes on keeping what comes free for a gang, as long as it is not enough on all its
 // machines and its turn lasts; it tells whether it does.
 func (o *Owner) renewAdvanceReservations(js *jobState, tasks map[int][]*board.Instance, attempt uint64, now time.Time, rq requests) bool {
-	enough := true
+	hasRoom := true
 	for _, list := range tasks {
-		enough = enough && list[0].Machine.Free.Fits(protocol.Room{})
+		hasRoom = hasRoom && list[0].Machine.Free.Fits(protocol.Room{})
 	}
-	if enough {
+	if hasRoom {
 		return false
 	}
 	if now.Sub(js.advanceSince) > placement.TurnFor {
@@ -236,15 +236,15 @@
 	if o.account(js) == "" {
 		return 0, true
 	}
-	var lacks []int
-	same := true
+	var missingPermits []int
+	sameAttempt := true
 	for index := range js.job.Spec.Tasks {
-		if p, ok := o.permitted(js, index, &lacks); ok {
-			same = same && (attempt == 0 || attempt == p.attempt)
+		if p, ok := o.permitted(js, index, &missingPermits); ok {
+			sameAttempt = sameAttempt && (attempt == 0 || attempt == p.attempt)
 			attempt = p.attempt
 		}
 	}
-	if len(lacks) == 0 && same {
+	if len(missingPermits) == 0 && sameAttempt {
 		return attempt, true
 	}
 	clear(js.permits) // those of an attempt of which some have lapsed
@@ -271,25 +271,25 @@
 func (o *Owner) completeGang(js *jobState, attempt uint64, now time.Time, rq requests) int {
 	s := js.job.Spec
 	p := o.placingFor(js, "")
-	looked := 0
-	for index := 0; index < s.Tasks && looked < 32; index++ {
-		there := o.board.Tasks[s.ID][index]
-		kept := len(there) == 1 && there[0].State == board.TaskReserved && there[0].Attempt == attempt
-		if len(there) > 0 && !kept || js.pending[index] != nil || now.Before(js.retryAt[index]) {
+	searched := 0
+	for index := 0; index < s.Tasks && searched < 32; index++ {
+		instances := o.board.Tasks[s.ID][index]
+		reserved := len(instances) == 1 && instances[0].State == board.TaskReserved && instances[0].Attempt == attempt
+		if len(instances) > 0 && !reserved || js.pending[index] != nil || now.Before(js.retryAt[index]) {
 			continue
 		}
-		looked++
-		if kept {
+		searched++
+		if reserved {
 			if o.teamLimitAllows(js, 0) { // it counts already
-				o.addStart(js, index, attempt, placement.Choice{Machine: there[0].Machine}, false, rq)
+				o.addStart(js, index, attempt, placement.Choice{Machine: instances[0].Machine}, false, rq)
 			}
 			continue
 		}
 		if !o.teamLimitAllows(js, 1) {
 			break
 		}
-		var lacks []int
-		if permit, ok := o.permitted(js, index, &lacks); !ok || permit != nil && permit.attempt != attempt {
+		var missingPermits []int
+		if permit, ok := o.permitted(js, index, &missingPermits); !ok || permit != nil && permit.attempt != attempt {
 			o.want(js, []int{index}, attempt, false, now)
 			continue
 		}
@@ -298,5 +298,5 @@
 			p.Zones[c.Machine.Zone]++
 		}
 	}
-	return looked
+	return searched
 }
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -29,43 +29,43 @@
 	if s.Shape != protocol.Service || js.job.Final() || js.missing > 0 || len(js.pending) > 0 {
 		return
 	}
-	var next *board.Instance
+	var candidate *board.Instance
 	for index, list := range o.board.Tasks[s.ID] {
 		sh := js.shareOf(index)
 		if sh == nil || !sh.settled {
 			return
 		}
-		var held, on *board.Instance
+		var reservation, current *board.Instance
 		for _, i := range list {
 			switch {
 			case i.Exited():
 			case i.State == board.TaskReserved:
-				held = i
+				reservation = i
 			default:
-				on = i
+				current = i
 			}
 		}
 		switch {
-		case held != nil && on == nil: // what is left of it elsewhere has exited
-			o.addStart(js, index, held.Attempt, placement.Choice{Machine: held.Machine}, false, rq)
+		case reservation != nil && current == nil: // what is left of it elsewhere has exited
+			o.addStart(js, index, reservation.Attempt, placement.Choice{Machine: reservation.Machine}, false, rq)
 			return
-		case held != nil && on != nil && on.Machine.Vacates:
-			o.requestStop(on, 0, now, rq)
+		case reservation != nil && current != nil && current.Machine.Vacates:
+			o.requestStop(current, 0, now, rq)
 			return
-		case held != nil || on == nil || !on.Running():
+		case reservation != nil || current == nil || !current.Running():
 			return // something is under way already
-		case on.Machine.Vacates && now.Sub(on.Ran) >= balance.SettledAfter:
-			next = on
+		case current.Machine.Vacates && now.Sub(current.Ran) >= balance.SettledAfter:
+			candidate = current
 		}
 	}
-	if next == nil || now.Before(js.nextMoveAt) || o.account(js) != "" || !o.teamLimitAllows(js, 1) {
+	if candidate == nil || now.Before(js.nextMoveAt) || o.account(js) != "" || !o.teamLimitAllows(js, 1) {
 		return
 	}
 	js.nextMoveAt = now.Add(2 * time.Second)
-	if c, ok := o.findMoveTarget(js, next); ok {
+	if c, ok := o.findMoveTarget(js, candidate); ok {
 		o.startedMoves++
-		slog.Info("moving", "task", next.Task, "from", next.Machine.ID, "to", c.Machine.ID)
-		o.addStart(js, next.Index, o.newAttempt(), c, true, rq)
+		slog.Info("moving", "task", candidate.Task, "from", candidate.Machine.ID, "to", c.Machine.ID)
+		o.addStart(js, candidate.Index, o.newAttempt(), c, true, rq)
 	}
 }
 
@@ -80,19 +80,19 @@
 	// Away from where it costs far more than elsewhere it may go to a machine that nothing
 	// else keeps, and fetch its image there.
 	misplaced := p.Dear[from.Machine.Type]
-	most := time.Duration(0)
+	maxFetch := time.Duration(0)
 	if misplaced {
-		most = maxMoveFetch
+		maxFetch = maxMoveFetch
 	}
-	var to []*board.Machine
+	var targets []*board.Machine
 	for _, m := range o.usableMachines() {
 		if misplaced && !p.Dear[m.Type] || o.runsService(m) {
-			to = append(to, m)
+			targets = append(targets, m)
 		}
 	}
-	p.Gather(to)
+	p.Gather(targets)
 	c, ok := p.BestFit()
-	return c, ok && p.Fetch(c.Machine) <= most
+	return c, ok && p.Fetch(c.Machine) <= maxFetch
 }
 
 // maxMoveFetch is the longest fetch that a replica is moved for.
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -19,13 +19,13 @@
 	if o.usableCache != nil {
 		return o.usableCache
 	}
-	heard := map[string]bool{}
+	recentlyHeard := map[string]bool{}
 	for name, p := range o.peers {
-		heard[name] = p.sessionValid && time.Since(p.heardAt) < 6*time.Second
+		recentlyHeard[name] = p.sessionValid && time.Since(p.heardAt) < 6*time.Second
 	}
 	o.usableCache = make([]*board.Machine, 0, len(o.board.Machines))
 	for _, m := range o.board.Machines {
-		if m.Current && m.Usable && heard[m.Holder] {
+		if m.Current && m.Usable && recentlyHeard[m.Holder] {
 			o.usableCache = append(o.usableCache, m)
 		}
 	}
@@ -125,23 +125,23 @@
 }
 
 // claim is a job as it is weighed against others, where teams use so much.
-func (o *Owner) claim(j *bookkeeping.Job, use map[string]protocol.Room) placement.Claim {
+func (o *Owner) claim(j *bookkeeping.Job, usage map[string]protocol.Room) placement.Claim {
 	s := j.Spec
 	c := placement.Claim{Spec: s, Rank: j.Rank, Filler: j.Filler}
 	if t := o.cfg.Team(s.Team); t != nil {
-		c.Guaranteed, c.Beyond = t.Guarantees(s.Need(), use[s.Team].Add(s.Need())), t.Beyond(s.Need(), use[s.Team])
+		c.Guaranteed, c.Beyond = t.Guarantees(s.Need(), usage[s.Team].Add(s.Need())), t.Beyond(s.Need(), usage[s.Team])
 	}
 	return c
 }
 
 // price is what stopping a task for one of the given claim costs.
-func (o *Owner) price(by placement.Claim, use map[string]protocol.Room, now time.Time) func(*board.Instance) (placement.Victim, bool) {
+func (o *Owner) price(claimant placement.Claim, usage map[string]protocol.Room, now time.Time) func(*board.Instance) (placement.Victim, bool) {
 	return func(i *board.Instance) (placement.Victim, bool) {
 		js := o.jobs[i.Job]
 		if js == nil {
 			return placement.Victim{}, false
 		}
-		return placement.Price(i, o.claim(js.job, use), by, now)
+		return placement.Price(i, o.claim(js.job, usage), claimant, now)
 	}
 }
 
@@ -159,12 +159,12 @@
 	if o.blockedByTurn(js, t.Name) {
 		return false
 	}
-	now := o.currentTeamUsage()
-	if now.hasUnknownJobs {
+	usage := o.currentTeamUsage()
+	if usage.hasUnknownJobs {
 		return false // it may be one of the team's
 	}
-	use := now.placed[t.Name].Add(now.pending[t.Name]).Add(js.job.Spec.Need().Scale(float64(more)))
-	return t.Admits(use)
+	total := usage.placed[t.Name].Add(usage.pending[t.Name]).Add(js.job.Spec.Need().Scale(float64(more)))
+	return t.Admits(total)
 }
 
 // blockedByTurn tells whether a job has to wait since a larger one of its team has its turn, as long as
@@ -186,13 +186,13 @@
 	}
 	s := js.job.Spec
 	tasks := o.board.Tasks[s.ID]
-	looked := 0
+	searched := 0
 	var p *placement.Placing
-	hold := -1      // how many had better wait for room where the image is, -1 if not known yet
-	var lacks []int // tasks that need a permit
-	defer func() { o.want(js, lacks, 0, false, now) }()
+	delayed := -1      // how many had better wait for room where the image is, -1 if not known yet
+	var missingPermits []int // tasks that need a permit
+	defer func() { o.want(js, missingPermits, 0, false, now) }()
 	for index := range js.remainingTasks {
-		if looked >= 32 {
+		if searched >= 32 {
 			break
 		}
 		if js.job.TaskDone(index) || len(tasks[index]) > 0 || js.pending[index] != nil {
@@ -204,8 +204,8 @@
 			}
 			delete(js.retryAt, index)
 		}
-		looked++
-		permit, ok := o.permitted(js, index, &lacks)
+		searched++
+		permit, ok := o.permitted(js, index, &missingPermits)
 		if !ok {
 			continue
 		}
@@ -214,19 +214,19 @@
 		}
 		if !o.teamLimitAllows(js, 1) {
 			js.blockedUntil = now.Add(500 * time.Millisecond)
-			return looked
+			return searched
 		}
 		c, ok := o.findMachine(js, p, now)
 		if !ok {
 			o.noteUnmetNeed(js, now)
-			return looked
+			return searched
 		}
-		if hold < 0 {
-			hold = o.countWaitingForImage(js, p, &c, js.missing, now)
+		if delayed < 0 {
+			delayed = o.countWaitingForImage(js, p, &c, js.missing, now)
 		}
-		if js.missing-(looked-1) <= hold && len(c.Evict) == 0 && p.Fetch(c.Machine) > 0 {
+		if js.missing-(searched-1) <= delayed && len(c.Evict) == 0 && p.Fetch(c.Machine) > 0 {
 			js.blockedUntil = now.Add(imageWaitInterval)
-			return looked
+			return searched
 		}
 		o.addStart(js, index, o.attempt(permit), c, false, rq)
 		p.Zones[c.Machine.Zone]++
@@ -235,7 +235,7 @@
 			break
 		}
 	}
-	return looked
+	return searched
 }
 
 // remainingTasks goes through the tasks of a job's settled blocks in which some are neither done
@@ -262,8 +262,8 @@
 	if ok && p.Fetch(c.Machine) <= o.startObjective(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
 		return c, true
 	}
-	if e, found := o.findPreemption(js, p, c.Machine, now); found {
-		return e, true
+	if choice, found := o.findPreemption(js, p, c.Machine, now); found {
+		return choice, true
 	}
 	return c, ok
 }
@@ -326,35 +326,35 @@
 	if js.opinion == placement.AtFault {
 		return placement.Choice{}, false // nothing makes way for what will fail
 	}
-	var use map[string]protocol.Room
+	var usage map[string]protocol.Room
 	if t := o.cfg.Team(s.Team); t != nil && t.Guaranteed() {
-		use = o.currentTeamUsage().placed
+		usage = o.currentTeamUsage().placed
 	}
-	by := o.claim(js.job, use)
-	if by.Rank < placement.Preempts && !by.Guaranteed || now.Sub(js.firstSeen) < 500*time.Millisecond {
+	claimant := o.claim(js.job, usage)
+	if claimant.Rank < placement.Preempts && !claimant.Guaranteed || now.Sub(js.firstSeen) < 500*time.Millisecond {
 		return placement.Choice{}, false
 	}
-	other := math.Inf(1)
+	otherCost := math.Inf(1)
 	if free != nil {
-		other = p.Cost(free)
+		otherCost = p.Cost(free)
 	}
-	e, found := p.Preempt(o.usableMachines(), other, o.price(by, use, now))
+	choice, found := p.Preempt(o.usableMachines(), otherCost, o.price(claimant, usage, now))
 	// Stopping other work is the last resort: as long as the aim leaves time,
 	// room may come free by itself.
 	within := o.startObjective(s.Class, time.Minute)
-	if found && free == nil && within-now.Sub(js.job.Ready)-p.Fetch(e.Machine)-10*time.Second >= within/5 {
-		found = o.evictsOnlyFiller(&e)
+	if found && free == nil && within-now.Sub(js.job.Ready)-p.Fetch(choice.Machine)-10*time.Second >= within/5 {
+		found = o.evictsOnlyFiller(&choice)
 	}
-	return e, found
+	return choice, found
 }
 
 // startObjective is how soon the users want tasks of a class to start, if they say.
-func (o *Owner) startObjective(class string, otherwise time.Duration) time.Duration {
-	return o.objective(class, "wait", otherwise)
+func (o *Owner) startObjective(class string, fallback time.Duration) time.Duration {
+	return o.objective(class, "wait", fallback)
 }
 
 // objective is the shortest time of the users' aims of a kind for a class.
-func (o *Owner) objective(class, kind string, otherwise time.Duration) time.Duration {
+func (o *Owner) objective(class, kind string, fallback time.Duration) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, a := range o.cfg.Deployment.Objectives {
 		if a.Class == class && a.Kind == kind && a.WithinS > 0 {
@@ -362,7 +362,7 @@
 		}
 	}
 	if shortest == math.MaxInt64 {
-		return otherwise
+		return fallback
 	}
 	return shortest
 }
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -90,17 +90,17 @@
 // stand in line behind results that end nothing. Of those, jobs with most to
 // tell come first.
 func (o *Owner) recordOutcomes(outcomes []bookkeeping.Outcome) {
-	var ends, results []bookkeeping.Outcome
+	var finishing, partial []bookkeeping.Outcome
 	for _, out := range outcomes {
 		if out.Finishes() {
-			ends = append(ends, out)
+			finishing = append(finishing, out)
 		} else {
-			results = append(results, out)
+			partial = append(partial, out)
 		}
 	}
-	slices.SortFunc(results, func(a, b bookkeeping.Outcome) int { return cmp.Compare(len(b.Tasks), len(a.Tasks)) })
-	o.writeOutcomes(&o.writingFinal, transport.Urgent, ends)
-	o.writeOutcomes(&o.writingPartial, transport.Ordinary, results)
+	slices.SortFunc(partial, func(a, b bookkeeping.Outcome) int { return cmp.Compare(len(b.Tasks), len(a.Tasks)) })
+	o.writeOutcomes(&o.writingFinal, transport.Urgent, finishing)
+	o.writeOutcomes(&o.writingPartial, transport.Ordinary, partial)
 }
 
 // writeOutcomes writes outcomes, one round at a time for those of a kind, as busy says.
@@ -139,7 +139,7 @@
 		if begun := j.Spec.Shape != protocol.Gang || list[0].Begun(); sh != nil && begun && !j.TaskDone(index) && js.pending[index] == nil {
 			sh.left--
 		}
-		var keep *board.Instance
+		var oldest *board.Instance
 		for _, i := range list {
 			if i.Exited() {
 				if i.Cause == protocol.CauseDone {
@@ -153,14 +153,14 @@
 				}
 				continue
 			}
-			if i.State != board.TaskReserved && (keep == nil || i.Since.Before(keep.Since)) {
-				keep = i
+			if i.State != board.TaskReserved && (oldest == nil || i.Since.Before(oldest.Since)) {
+				oldest = i
 			}
 		}
 		for _, i := range list {
 			// Two of one task cannot be by our doing; should it happen, the
 			// younger one goes.
-			if sh != nil && !i.Exited() && i.State != board.TaskReserved && (i != keep && len(list) > 1 || j.TaskDone(index)) {
+			if sh != nil && !i.Exited() && i.State != board.TaskReserved && (i != oldest && len(list) > 1 || j.TaskDone(index)) {
 				o.requestStop(i, 0, now, rq)
 			}
 		}
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -78,25 +78,25 @@
 	o.seq++
 	a.ID = protocol.NewToken(o.session.Term(), o.seq)
 	a.Window = o.window().Number
-	mine := make([]*pendingStart, len(a.Starts))
+	pendingStarts := make([]*pendingStart, len(a.Starts))
 	for k, st := range a.Starts {
 		job, index, _ := protocol.SplitTask(st.Task)
-		mine[k] = o.jobs[job].pending[index]
-		mine[k].requestID = a.ID
+		pendingStarts[k] = o.jobs[job].pending[index]
+		pendingStarts[k].requestID = a.ID
 	}
 	h := o.holders[name]
 	if h == nil {
-		o.handleReply(name, a, mine, nil, errNotNow)
+		o.handleReply(name, a, pendingStarts, nil, errNotNow)
 		return
 	}
 	go func() {
 		var r AskReply
 		err := h.Ask(o.ctx, *a, &r)
-		o.tell(func() { o.handleReply(name, a, mine, &r, err) })
+		o.tell(func() { o.handleReply(name, a, pendingStarts, &r, err) })
 	}()
 }
 
-func (o *Owner) handleReply(name string, a *AskArgs, mine []*pendingStart, r *AskReply, err error) {
+func (o *Owner) handleReply(name string, a *AskArgs, pendingStarts []*pendingStart, r *AskReply, err error) {
 	o.dirty = true
 	refused := errors.Is(err, transport.ErrRefused) || err != nil && err.Error() == errNotNow.Error()
 	if err != nil && !refused {
@@ -106,17 +106,17 @@
 	for k, st := range a.Starts {
 		job, index, _ := protocol.SplitTask(st.Task)
 		js := o.active[job]
-		ghost := quota.Attempt{Task: st.Task, Number: st.Attempt}
-		if o.quotas.ghosts[ghost] == mine[k] {
+		attempt := quota.Attempt{Task: st.Task, Number: st.Attempt}
+		if o.quotas.ghosts[attempt] == pendingStarts[k] {
 			// Its job is over; what became of the start still counts for quotas.
 			if refused || err == nil && k < len(r.Refused) && r.Refused[k] != "" {
-				delete(o.quotas.ghosts, ghost)
-			} else if mine[k].outcomeUnknown = err != nil; err == nil {
-				mine[k].acked, mine[k].ackIncarnation, mine[k].ackVersion = true, r.Incarnation, r.Version
+				delete(o.quotas.ghosts, attempt)
+			} else if pendingStarts[k].outcomeUnknown = err != nil; err == nil {
+				pendingStarts[k].acked, pendingStarts[k].ackIncarnation, pendingStarts[k].ackVersion = true, r.Incarnation, r.Version
 			}
 			continue
 		}
-		if js == nil || js.pending[index] != mine[k] {
+		if js == nil || js.pending[index] != pendingStarts[k] {
 			continue
 		}
 		js.stale = true
@@ -125,14 +125,14 @@
 			delete(js.pending, index)
 			js.retryAt[index] = time.Now().Add(500 * time.Millisecond)
 		case err != nil:
-			mine[k].outcomeUnknown = true
+			pendingStarts[k].outcomeUnknown = true
 		case k < len(r.Refused) && r.Refused[k] != "":
 			delete(js.pending, index)
 			js.retryAt[index] = time.Now().Add(300 * time.Millisecond)
 		default:
-			mine[k].acked, mine[k].ackIncarnation, mine[k].ackVersion = true, r.Incarnation, r.Version
+			pendingStarts[k].acked, pendingStarts[k].ackIncarnation, pendingStarts[k].ackVersion = true, r.Incarnation, r.Version
 			// The feed may have shown it before the answer came.
-			if p := o.peers[name]; o.shown(mine[k], name, p.incarnation, p.version) {
+			if p := o.peers[name]; o.shown(pendingStarts[k], name, p.incarnation, p.version) {
 				delete(js.pending, index)
 			}
 		}
--- a/internal/coordination/unmet.go
+++ b/internal/coordination/unmet.go
@@ -80,16 +80,16 @@
 	if !ok {
 		return false
 	}
-	l, lacks := o.unmetNeeds[k]
-	return lacks && now.Before(l.expiresAt) && js.job.Spec.Need().Fits(l.spec.Need())
+	need, known := o.unmetNeeds[k]
+	return known && now.Before(need.expiresAt) && js.job.Spec.Need().Fits(need.spec.Need())
 }
 
 // dropMetNeeds has kinds looked for again that machines which were shown anew have room for.
 func (o *Owner) dropMetNeeds(views []board.MachineView) {
-	for k, l := range o.unmetNeeds {
+	for k, need := range o.unmetNeeds {
 		if slices.ContainsFunc(views, func(v board.MachineView) bool {
 			m := o.board.Machines[v.ID]
-			return m != nil && m.Usable && m.Free.Sub(m.Promised).Fits(l.spec.Need()) && l.spec.Allows(m.Type, m.Zone, m.Spot)
+			return m != nil && m.Usable && m.Free.Sub(m.Promised).Fits(need.spec.Need()) && need.spec.Allows(m.Type, m.Zone, m.Spot)
 		}) {
 			delete(o.unmetNeeds, k)
 		}
--- a/internal/coordination/why.go
+++ b/internal/coordination/why.go
@@ -71,20 +71,20 @@
 
 // nextBooting tells whether machines that fit a job are on their way, and in how long
 // the first of them should have its image, negative if they are late.
-func (o *Owner) nextBooting(s *protocol.JobSpec, now time.Time) (ready time.Duration, coming bool) {
+func (o *Owner) nextBooting(s *protocol.JobSpec, now time.Time) (ready time.Duration, booting bool) {
 	ready = -1
-	there := o.currentFleet(now)
-	for k, n := range there.booting {
+	current := o.currentFleet(now)
+	for k, n := range current.booting {
 		t := o.machineTypes[k.Type]
 		if n == 0 || !s.Allows(k.Type, k.Zone, k.Spot) || !t.Takes(s) {
 			continue
 		}
-		coming = true
-		if left, ok := there.nextReady[k]; ok && (ready < 0 || left+t.FetchTime(s.ImageGB) < ready) {
+		booting = true
+		if left, ok := current.nextReady[k]; ok && (ready < 0 || left+t.FetchTime(s.ImageGB) < ready) {
 			ready = left + t.FetchTime(s.ImageGB)
 		}
 	}
-	return ready, coming
+	return ready, booting
 }
 
 // seconds is a duration for people, nil if it is not known.
@@ -120,15 +120,15 @@
 	if j.Rank != s.Priority.Rank() {
 		v.RaisedTo = string(protocol.PriorityOf(j.Rank))
 	}
-	left := func(end time.Time) *float64 {
+	remaining := func(end time.Time) *float64 {
 		in := float64(end.Sub(now).Round(100*time.Millisecond)) / float64(time.Second)
 		return &in
 	}
 	if due, ok := s.Deadline(); ok {
-		v.DueInS = left(j.Accepted.Add(due))
+		v.DueInS = remaining(j.Accepted.Add(due))
 	}
 	if !j.End.IsZero() && !j.Final() {
-		v.MustEndInS = left(j.End)
+		v.MustEndInS = remaining(j.End)
 	}
 	if !js.job.Final() {
 		var in time.Duration
@@ -170,7 +170,7 @@
 
 // fleetCounts counts machines by type, whatever their zones.
 func (o *Owner) fleetCounts(now time.Time) (all []protocol.FleetCount) {
-	there := o.currentFleet(now)
+	current := o.currentFleet(now)
 	kinds := map[fleet.Kind]*protocol.FleetCount{}
 	count := func(k fleet.Kind) *protocol.FleetCount {
 		k.Zone = ""
@@ -179,12 +179,12 @@
 		}
 		return kinds[k]
 	}
-	for k, n := range there.up {
+	for k, n := range current.up {
 		c := count(k)
 		c.Up += n
-		c.Used += there.used[k]
+		c.Used += current.used[k]
 	}
-	for k, n := range there.booting {
+	for k, n := range current.booting {
 		count(k).Booting += n
 	}
 	for _, c := range kinds {
@@ -287,6 +287,6 @@
 }
 
 // obtainable tells whether the cloud may have machines for a job, of other types than some.
-func (o *Owner) obtainable(s *protocol.JobSpec, but map[string]bool) bool {
-	return fleet.ToBeHad(o.machineTypes, s, func(k fleet.Kind) bool { return !but[k.Type] && !slices.Contains(o.refusedKinds, k) })
+func (o *Owner) obtainable(s *protocol.JobSpec, excluded map[string]bool) bool {
+	return fleet.ToBeHad(o.machineTypes, s, func(k fleet.Kind) bool { return !excluded[k.Type] && !slices.Contains(o.refusedKinds, k) })
 }
