--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -19,13 +19,13 @@
 	"daledyke/internal/protocoltest"
 )
 
-// What actors do with the decisions, each on a state written down by hand.
+// Decisions of the actors, each on a hand-written state.
 
 var controllers = []string{"c0", "c1", "c2"}
 
-// A controller was cut off, lost its range and got it back in a later window
-// that it has not seen yet. What it asks by the old window must be refused:
-// its picture leaves out what others started in between.
+// Guards against a request under an outdated window. A controller that was cut off lost its range and regained
+// it in a later window that it has not seen yet. Its requests under the old window must be refused, since its
+// board lacks what other owners started in between.
 func TestRequestsUnderOutdatedWindowsAreRefused(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), fences: map[string]protocol.Token{},
 		session: &Session{base: time.Now()}}
@@ -40,16 +40,16 @@
 	h.obey(window(1, "c0", "c1"))
 	h.obey(window(2, "c0", "c1"))
 	if !accepts(1) || !accepts(2) || accepts(3) {
-		t.Error("equal windows in a row hand over without a pause, later ones are not obeyed yet")
+		t.Error("consecutive windows with equal owners must be accepted, a later window refused")
 	}
 	h.obey(window(3, "c1"))
 	h.obey(window(4, "c0", "c1"))
 	if accepts(2) || !accepts(4) {
-		t.Error("an owner that goes by a window from before it lost its range was served")
+		t.Error("a request under a window from before the owner lost its range was served")
 	}
 	h.obey(window(6, "c0", "c1"))
 	if accepts(4) {
-		t.Error("a window was skipped: its owners are not known")
+		t.Error("a request was served although a window was skipped, whose owners are unknown")
 	}
 	h.fences["c0"] = protocol.NewToken(2, 0)
 	if accepts(6) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// A gang that must share a zone goes where all its tasks have their image
-// soonest, not to the first zone that has room.
+// Guards against choosing the first zone with room: a gang that must share a zone goes where the slowest fetch
+// of its image is shortest.
 func TestGangsPreferTheZoneThatHasTheirImage(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
 	if err != nil {
@@ -87,7 +87,7 @@
 			}
 		}
 		if len(rq["c1"].Starts) != 3 {
-			t.Errorf("%+v", rq["c1"])
+			t.Errorf("requests: %+v", rq["c1"])
 		}
 		for _, m := range o.board.Machines {
 			m.Promised = protocol.Room{}
@@ -95,9 +95,9 @@
 	}
 }
 
-// A holder took a start on and gave the slot up before its news showed it.
-// The start must stay pending until the slot's next holder knows all: once it
-// was taken for void, and the task ran twice.
+// Guards against a task that runs twice. A holder accepted a start and gave up the slot before its feed showed
+// the start. The start must stay pending until the slot's next holder is complete; it was once dropped as
+// void.
 func TestPendingStartsSurviveAHandover(t *testing.T) {
 	o := &Owner{board: board.New()}
 	applyNews := func(holder string, inc, version, term uint64, complete bool, slots ...int) *board.News {
@@ -115,25 +115,25 @@
 	acked := &pendingStart{machine: "m", holder: "c0", holderIncarnation: 1, slot: 3, slotTerm: 5, requestID: protocol.NewToken(1, 7), acked: true, ackIncarnation: 1, ackVersion: 12}
 	lost := &pendingStart{machine: "m", holder: "c0", holderIncarnation: 1, slot: 3, slotTerm: 5, requestID: protocol.NewToken(1, 8), outcomeUnknown: true}
 	if r := applyNews("c0", 1, 11, 5, true, 0, 3); !pending(acked, "c0", r) {
-		t.Error("resolved by news from before the start")
+		t.Error("resolved by a feed reply from before the start")
 	}
 	if r := applyNews("c0", 1, 13, 5, true, 0); !pending(acked, "c0", r) || !pending(lost, "c0", r) {
-		t.Error("resolved by news of a holder that had given the slot up")
+		t.Error("resolved by a feed reply of a holder that had given up the slot")
 	}
 	if r := applyNews("c1", 2, 4, 6, false, 3); !pending(acked, "c1", r) {
-		t.Error("resolved while the new holder does not know all yet")
+		t.Error("resolved while the slot is not complete at its new holder")
 	}
 	if r := applyNews("c1", 2, 5, 6, true, 3); pending(acked, "c1", r) || pending(lost, "c1", r) {
-		t.Error("still open although the new holder knows all")
+		t.Error("still pending although the slot is complete at its new holder")
 	}
 	covered := &pendingStart{machine: "m", holder: "c1", holderIncarnation: 2, slot: 3, slotTerm: 6, requestID: protocol.NewToken(1, 9), acked: true, ackIncarnation: 2, ackVersion: 6}
 	if r := applyNews("c1", 2, 6, 6, true, 3); pending(covered, "c1", r) {
-		t.Error("still open although the holder's news covers it")
+		t.Error("still pending although the holder's feed covers it")
 	}
 }
 
-// Work of a team beyond its guarantee may be stopped for a team within its
-// own, whatever the priorities; otherwise only lower priorities go.
+// A team within its guarantee may preempt work of a team beyond its own, whatever the priorities; otherwise
+// only lower priorities may be preempted.
 func TestPreemptionBetweenTeams(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "cpus = 8.0\n", "cpus = 4.0\n"), "")
 	if err != nil {
@@ -145,14 +145,14 @@
 		s := protocoltest.Job(func(s *protocol.JobSpec) { s.Team, s.Priority, s.Accels = team, p, 0 })
 		return &bookkeeping.Job{Spec: s, Place: bookkeeping.Place{Urgency: urgencyOf(c, &bookkeeping.Job{Spec: s})}}
 	}
-	// One that an urgent job needs is as urgent, as who asks and as who may go.
+	// A job that an urgent job needs is as urgent, both as claimant and as victim.
 	needed := func(j *bookkeeping.Job) *bookkeeping.Job { j.Rank = 2; return j }
 	if !o.claim(job("free", "idle"), use).Guaranteed || o.claim(job("bound", "idle"), use).Guaranteed {
-		t.Error("4 of 8 cores leave room for 4 more; 8 of 4 don't")
+		t.Error("a team that uses 4 of 8 guaranteed cores has 4 left, one that uses 8 of 4 has none")
 	}
 	for _, c := range []struct {
 		victim, claimant *bookkeeping.Job
-		want       bool
+		want             bool
 	}{
 		{job("bound", "high"), job("free", "idle"), true},
 		{job("free", "high"), job("bound", "idle"), false},
@@ -162,7 +162,7 @@
 		{needed(job("free", "idle")), job("free", "high"), false},
 	} {
 		if got := placement.MayStop(o.claim(c.victim, use), o.claim(c.claimant, use)); got != c.want {
-			t.Errorf("%d of %s for %d of %s: %v", c.victim.Rank, c.victim.Spec.Team, c.claimant.Rank, c.claimant.Spec.Team, got)
+			t.Errorf("rank %d of %s may be preempted for rank %d of %s: %v", c.victim.Rank, c.victim.Spec.Team, c.claimant.Rank, c.claimant.Spec.Team, got)
 		}
 	}
 }
@@ -178,9 +178,9 @@
 	return file
 }
 
-// Whatever part of the ring a controller inherits, it must come to know that
-// it knows all: once it looked at one token of its range alone, which it had
-// owned before, and a team with a limit that it had inherited waited for ever.
+// Whatever part of the ring a controller gains, it must learn the revision after which jobs are new. The check
+// once looked at a single token of its range, which it had owned before, and jobs of a gained team with a
+// limit waited for ever.
 func TestNewOwnersLearnTheGainRevision(t *testing.T) {
 	o := &Owner{actor: newActor(context.Background()), cfg: &config.Config{}}
 	o.cfg.Name = "c0"
@@ -188,20 +188,19 @@
 		o.obey(&bookkeeping.Window{Number: uint64(n + 1), Owners: owners})
 	}
 	if o.presentSince() != 3 {
-		t.Fatalf("present owners since %d", o.presentSince())
+		t.Fatalf("present owners since window %d", o.presentSince())
 	}
 	o.gainRevisions = map[uint64]uint64{o.presentSince(): 77}
 	for i := range 2000 {
 		token := protocol.RingToken(protocol.TaskName("wk-1", i))
 		if g := o.gainOf(token); (g != 0) != (o.window().Owner(token) == "c0") || g != 0 && o.bornBy(g) != 77 {
-			t.Fatalf("token %d gained at %d, born by %d", token, g, o.bornBy(g))
+			t.Fatalf("token %d: gained in window %d, gain revision %d", token, g, o.bornBy(g))
 		}
 	}
 }
 
-// The admission check goes by blocks: whoever owns a job has no business with the blocks that
-// are another's, and a window that divides jobs anew voids what was asked under the one
-// before, though all ranges stay as they are.
+// Admission goes by blocks: the owner of a job may not start tasks in blocks that others own. A window that
+// starts to divide jobs makes earlier requests void, though the ranges of the ring stay the same.
 func TestAdmissionChecksTheOwnerOfTheBlock(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
 		jobs: map[string]*bookkeeping.Job{}, byID: map[string]*worker{}, slots: map[int]*heldSlot{}}
@@ -215,11 +214,11 @@
 	h.obey(&bookkeeping.Window{Number: 5, Owners: controllers})
 	jobOwner := h.window.Owner(j.Token)
 	if reason := refusal(jobOwner, s.Tasks-1); reason == "not the owner" {
-		t.Error("undivided, the job's owner places all of it")
+		t.Error("the owner of an undivided job was refused")
 	}
 	h.obey(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
 	if h.ownersSince != 6 {
-		t.Errorf("owners since %d", h.ownersSince)
+		t.Errorf("owners since window %d", h.ownersSince)
 	}
 	for index := 0; index < s.Tasks; index += bookkeeping.BlockTasks {
 		for _, caller := range controllers {
@@ -229,13 +228,13 @@
 		}
 	}
 	if jobOwner == h.window.OwnerOf(j, s.Tasks-1) {
-		t.Error("the last block is the job's owner's: nothing was tried")
+		t.Error("the job's owner also owns the last block: no refusal was tested")
 	}
 }
 
-// A leader wants a machine kept free that it believes to be idle. If a task was
-// asked for there meanwhile, the wish comes too late; and it is over when the
-// leader no longer has it, also one whose session is older than the last one's.
+// A leader asks to drain machines that it believes to be idle. The request fails for a machine that has got a
+// task meanwhile, and ends when the leader drops the machine. A request with a lower number than the last one
+// has no effect.
 func TestDrainRequests(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, byID: map[string]*worker{}}
 	for _, id := range []string{"host-1", "host-2", "host-3"} {
@@ -255,17 +254,17 @@
 	}
 	h.drain(&DrainArgs{Wish: 100, Machines: []string{"host-1", "host-2", "host-3"}})
 	if got := drained(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.byID["host-2"].entries) != 1 {
-		t.Errorf("kept free: %v", got)
+		t.Errorf("draining: %v", got)
 	}
 	if v := h.view(h.byID["host-1"]); v.Drained != 100 {
-		t.Errorf("empty since wish %d", v.Drained)
+		t.Errorf("drained for request %d", v.Drained)
 	}
 	h.drain(&DrainArgs{Wish: 90, Machines: nil})
 	if got := drained(); len(got) != 2 {
-		t.Errorf("a former leader's wish counted: %v", got)
+		t.Errorf("a former leader's request took effect: %v", got)
 	}
 	h.drain(&DrainArgs{Wish: 101, Machines: []string{"host-1"}})
 	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.byID["host-1"].drainWish != 100 {
-		t.Errorf("kept free: %v", got)
+		t.Errorf("draining: %v", got)
 	}
 }
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -16,14 +16,14 @@
 	"daledyke/internal/ring"
 )
 
-// What an owner knows of the fleet and of what it lacks.
+// What an owner knows of the fleet, and which machines its jobs need.
 
 func (o *Owner) isRemoved(ctx context.Context, id string) bool {
 	gone, _ := askFor(ctx, &o.actor, func() bool { return o.removedMachines.has(id) })
 	return gone
 }
 
-// addRentedMachines notes rented machines before the records show them.
+// addRentedMachines registers rented machines before the replica shows their records.
 func (o *Owner) addRentedMachines(batch bookkeeping.RentalBatch) {
 	o.ask(o.ctx, func() {
 		for _, id := range batch.Machines {
@@ -34,11 +34,11 @@
 	})
 }
 
-// summarizeFleet sums up the summarizeFleet for the leader.
+// summarizeFleet describes the fleet for the leader.
 func (o *Owner) summarizeFleet(ctx context.Context, now, started time.Time) *fleetState {
 	st := &fleetState{drained: map[string]uint64{}, holder: map[string]string{}, reg: map[string]*bookkeeping.Machine{}, seen: map[string]bool{}, up: map[string]bool{}}
 	ok := o.ask(ctx, func() {
-		// Without every slot's news it is not known what is missing.
+		// Without complete slots it is not known what is missing.
 		st.ready = o.window() != nil && o.board.AllComplete(o.slots, 0)
 		st.in.Types = o.machineTypes
 		st.in.Scarce = o.findScarceTypes()
@@ -58,8 +58,8 @@
 	return st
 }
 
-// addRegisteredMachines adds the machines by the records, and on which of those that are not seen tasks
-// may be.
+// addRegisteredMachines adds the registered machines. Unseen ones listed in a roster are marked up, since
+// tasks may run on them.
 func (o *Owner) addRegisteredMachines(st *fleetState) {
 	for id, m := range o.registeredMachines {
 		st.reg[id] = m
@@ -69,8 +69,8 @@
 	}
 }
 
-// addAwaitedMachines adds the machines that have not reported since their slots changed hands: jobs whose
-// tasks may be there wait until they are gone.
+// addAwaitedMachines adds the machines that have not reported since their slots changed holder: jobs with
+// tasks that may run there wait until these machines are gone.
 func (o *Owner) addAwaitedMachines(st *fleetState) {
 	for _, s := range o.board.Slots {
 		if p := o.peers[s.Holder]; p != nil && p.sessionValid {
@@ -82,7 +82,8 @@
 	}
 }
 
-// addReportedMachine adds what holders say of a machine; it tells whether the machine is to be planned with.
+// addReportedMachine adds a holder's view of a machine; it tells whether the machine is available for
+// planning.
 func (o *Owner) addReportedMachine(st *fleetState, id string, m *board.Machine) bool {
 	st.seen[id] = true
 	if st.holder[id] == "" {
@@ -107,7 +108,7 @@
 	return !m.Leaving && !m.Silent
 }
 
-// fleetMachine is a machine as plans for the fleet see it.
+// fleetMachine describes a machine for fleet planning.
 func (o *Owner) fleetMachine(id string, m *board.Machine, now time.Time) *fleet.Machine {
 	f := &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: m.Free, Used: len(m.Instances) > 0, Fresh: now.Sub(m.Known) < fleet.FreshFor, Images: m.Images}
 	for _, i := range m.Instances {
@@ -139,11 +140,10 @@
 	f.ByRank[j.Rank] = f.ByRank[j.Rank].Add(j.Spec.Need())
 }
 
-// siblingDoubtTimeout is for how long a controller may not have been heard of before nothing is
-// moved to it.
+// siblingDoubtTimeout is how long a controller may be silent before no slot is moved to it.
 const siblingDoubtTimeout = 4 * time.Second
 
-// ringLoad is what the slots carry, and whose holders are doubted.
+// ringLoad is the load of each slot, and which controllers are doubted.
 func (o *Owner) ringLoad(now time.Time) ring.Load {
 	l := ring.Load{Slots: make([]float64, o.slots), Doubted: map[string]bool{}}
 	for n := range l.Slots {
@@ -163,7 +163,7 @@
 	return l
 }
 
-// demands is what has no machine, and what is expected to come.
+// demands are the tasks without a machine, and spare room for expected work.
 func (o *Owner) demands(now, started time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	affordable := o.affordable()
@@ -171,7 +171,7 @@
 	limits := o.remainingTeamLimits()
 	for _, js := range o.activeJobsByUrgency() {
 		if js.job.Waits > 0 || js.opinion == placement.AtFault {
-			continue // nothing is kept for it that others could use now
+			continue // no capacity is kept from other work for a job that is expected to fail
 		}
 		s := js.job.Spec
 		missing, zones := o.missingTasks(js)
@@ -191,7 +191,7 @@
 			n := min(missing, placement.Hold(o.cfg.Patience, rates[s.Image], waitingForImage[s.Image], fetch, now.Sub(js.job.Ready), o.startObjective(s.Class, time.Minute)))
 			waitingForImage[s.Image] += n
 			if missing -= n; missing <= 0 {
-				continue // room where their image is comes sooner than a machine
+				continue // room on a machine with their image comes free sooner than a new machine is ready
 			}
 		}
 		if s.Shape == protocol.Array && o.startObjective(s.Class, 0) == 0 {
@@ -204,8 +204,7 @@
 	return append(out, o.spareDemands(now, started)...)
 }
 
-// missingTasks is how many of a job's tasks are neither done nor have a machine, and how many have
-// one by zone.
+// missingTasks counts a job's tasks that are neither done nor placed, and the placed ones by zone.
 func (o *Owner) missingTasks(js *jobState) (missing int, zones map[string]int) {
 	missing = js.job.Spec.Tasks - js.job.DoneCount() - len(js.pending)
 	zones = map[string]int{}
@@ -221,7 +220,7 @@
 	return missing, zones
 }
 
-// remainingPerZone is how many more tasks of a job each zone may have, nil if any may have all.
+// remainingPerZone is how many more tasks of a job each zone may have, nil if any zone may have all.
 func (o *Owner) remainingPerZone(s *protocol.JobSpec, zones map[string]int) map[string]int {
 	if !s.Scatter && !s.OneZone {
 		return nil
@@ -236,11 +235,11 @@
 	return left
 }
 
-// spareDemands are what is kept ready for urgent work that is expected to come.
+// spareDemands are the spare room for urgent work that is expected to come.
 func (o *Owner) spareDemands(now, started time.Time) (out []fleet.Demand) {
 	for name, c := range o.classes {
 		if c.Spec.Priority.Rank() < placement.Preempts {
-			continue // other work of its kind would be in it at once
+			continue // other work of its kind would occupy the spare room at once
 		}
 		n, preempt := fleet.Spare(c, o.machineTypes, o.startObjective(name, math.MaxInt64), o.cfg.Spare, now, started)
 		if n <= 0 {
@@ -258,14 +257,14 @@
 	return out
 }
 
-// activeJobsByUrgency are the jobs that are not over, by priority and by what is due first.
+// activeJobsByUrgency are the active jobs, by priority and then by start deadline.
 func (o *Owner) activeJobsByUrgency() []*jobState {
 	return slices.SortedFunc(maps.Values(o.active), func(a, b *jobState) int {
 		return cmp.Or(cmp.Compare(b.job.Rank, a.job.Rank), o.compareStartDeadline(a, b))
 	})
 }
 
-// remainingTeamLimits is what each limited team may still use beside what is on machines.
+// remainingTeamLimits is how much each limited team may still use beyond its placed tasks.
 func (o *Owner) remainingTeamLimits() map[string]*fleet.Allowance {
 	left := map[string]*fleet.Allowance{}
 	for i := range o.cfg.Deployment.Teams {
@@ -276,7 +275,7 @@
 	return left
 }
 
-// completionRates is how often a second a task ends on machines that have an image, for each.
+// completionRates is, by image, how many tasks a second end on machines that have the image.
 func (o *Owner) completionRates(now time.Time) map[string]float64 {
 	rates, wanted := map[string]float64{}, o.wantedImages(now)
 	for _, m := range o.board.Machines {
@@ -299,9 +298,8 @@
 	return rates
 }
 
-// targetFinish is when the users want a job to be done: by the aim of its class, or
-// by its deadline, and in any case by what those that need it leave; as soon as
-// it was ready if nobody says.
+// targetFinish is when a job should be done: by the objective of its class, else by its deadline, and in any
+// case by the end that dependent jobs leave it. Without either it is when the job was ready.
 func (o *Owner) targetFinish(js *jobState) time.Time {
 	j := js.job
 	target := j.Ready.Add(o.objective(j.Spec.Class, "finished", 0))
@@ -311,7 +309,7 @@
 	return target
 }
 
-// maxClasses bounds the classes of which arrivals are counted.
+// maxClasses bounds the number of classes whose arrivals are counted.
 const maxClasses = 64
 
 func (o *Owner) countArrival(js *jobState) {
--- a/internal/coordination/chains.go
+++ b/internal/coordination/dependencies.go
@@ -13,10 +13,10 @@
 	"daledyke/internal/transport"
 )
 
-// Chains of jobs, as a submission sees them. What follows for a job from the
-// others is worked out with the replica (bookkeeping, chains.go).
+// Dependencies of a submitted job. What follows from them for other jobs is worked out with the replica
+// (package bookkeeping).
 
-// urgencyOf is how much the end of a job is wanted for its own sake.
+// urgencyOf is the urgency of a job by itself, without the jobs that need it.
 func urgencyOf(c *config.Config, j *bookkeeping.Job) bookkeeping.Urgency {
 	u := bookkeeping.Urgency{Rank: j.Spec.Priority.Rank(), Filler: c.Filler(j.Spec)}
 	if due, ok := j.Spec.Deadline(); ok {
@@ -25,18 +25,15 @@
 	return u
 }
 
-// errUnsatisfiable: the jobs that a submission names can't all be done some day.
+// errUnsatisfiable: the jobs that a submission names can never all be done.
 var errUnsatisfiable = errors.New("awaits")
 
-// needsTimeout bounds how long a submission's names are looked up, before its
-// user is told to come again.
+// needsTimeout bounds the lookup of a submission's dependencies; after it the user is told to retry.
 const needsTimeout = 2500 * time.Millisecond
 
-// resolveNeeds finds out what became of the jobs that a submission names, and leaves
-// in it those that are not over: what is done resolveNeeds not be waited for, and
-// would have to be looked up by every controller that starts. with is one that
-// was cancelled. What is found is kept for a retry: a list of jobs long over
-// may take several.
+// resolveNeeds looks up the jobs that a submission names, and keeps in it only those that are not final: a
+// done job need not be waited for, and every starting controller would have to look it up. cancelledWith names
+// a cancelled one. What was found is kept for a retry, since a long list of final jobs may take several.
 func (k *Controller) resolveNeeds(ctx context.Context, spec *protocol.JobSpec) (cancelledWith string, err error) {
 	if len(spec.Needs) == 0 {
 		return "", nil
@@ -46,8 +43,8 @@
 	known, ok := askFor(ctx, &k.owner.actor, func() map[string]*bookkeeping.Job {
 		for _, p := range k.owner.peers {
 			if p.generation == 1 {
-				// A controller of the version before chains may own the job, and
-				// would run it at once. Once no such version is left, this can go.
+				// A controller of the version before dependencies may own the job and would run it at once.
+				// This check can go once no such version is left.
 				return nil
 			}
 		}
@@ -83,10 +80,9 @@
 	return cancelledWith, nil
 }
 
-// readUnknownNeeds reads the jobs that a submission names and that are not known, most
-// of them long over. They are listed a few at a time, the more the closer together
-// they turn out to lie. That one was never accepted is proved by reads that begin
-// after the submission.
+// readUnknownNeeds reads the named jobs that are not known, most of them long final. It lists several records
+// per request, more where many of the listed ones are named. That a job was never accepted is proved by reads
+// that begin after the submission.
 func (k *Controller) readUnknownNeeds(ctx context.Context, spec *protocol.JobSpec, known map[string]*bookkeeping.Job) error {
 	pageSize := 1
 	for _, id := range spec.Needs { // sorted, as the records are
@@ -101,7 +97,7 @@
 			return ErrLater
 		}
 		if listed[id] == nil {
-			return nil // nothing more need be known
+			return nil // the submission is refused for this job alone
 		}
 		hits := 0
 		for _, id := range spec.Needs {
@@ -122,7 +118,7 @@
 	return nil
 }
 
-// addFinalJob takes in a job that is over and that the replica does not have.
+// addFinalJob adds a final job that the replica does not have.
 func (k *Controller) addFinalJob(j *bookkeeping.Job) {
 	j.Seat = Place(k.cfg, j.Spec)
 	k.holder.tell(func() {
@@ -137,7 +133,7 @@
 	})
 }
 
-// memberChanged notes what a sibling's version understands.
+// memberChanged records the generation of a sibling's software.
 func (o *Owner) memberChanged(name string, m *bookkeeping.Member) {
 	p := o.peers[name]
 	switch {
--- a/internal/coordination/blame.go
+++ b/internal/coordination/failures.go
@@ -9,14 +9,13 @@
 	"daledyke/internal/protocol"
 )
 
-// Who is to blame when tasks fail (placement.JudgeJob, JudgeMachine). Holders
-// say which jobs failed on a machine since something last succeeded there;
-// every controller judges the jobs by that, and each holder its machines.
+// Judging whether the job or the machine is at fault when tasks fail (placement.JudgeJob, JudgeMachine).
+// Holders report which jobs failed on a machine since a task last succeeded there; every controller judges the
+// jobs by these reports, and each holder its machines.
 
 // ---- the holder's side: machines
 
-// noteFailure notes that a job's task noteFailure on a machine, succeeded that one
-// of a job's tasks ran or was completed.
+// noteFailure records that a job's task failed on a machine.
 func (h *Holder) noteFailure(w *worker, job string) {
 	w.errorsBy[job] = true
 	h.judgeMachine(w)
@@ -28,7 +27,7 @@
 	h.judgeMachine(w)
 }
 
-// judgeMachine brings up to date what is thought of a machine.
+// judgeMachine updates the doubt and the suspicion of a machine.
 func (h *Holder) judgeMachine(w *worker) {
 	var opinions []placement.Opinion
 	for job := range w.errorsBy {
@@ -37,7 +36,7 @@
 		case j != nil && j.State == protocol.Done:
 			opinion = placement.Innocent
 		case j != nil && j.Final():
-			delete(w.errorsBy, job) // cancelled: it will never be known
+			delete(w.errorsBy, job) // cancelled: its opinion will never be known
 			continue
 		}
 		opinions = append(opinions, opinion)
@@ -61,7 +60,7 @@
 	}
 }
 
-// setOpinion takes in what is thought of a job.
+// setOpinion stores the opinion of a job and judges the machines where it failed again.
 func (h *Holder) setOpinion(job string, opinion placement.Opinion) {
 	if j := h.jobs[job]; j == nil || j.Final() {
 		return
@@ -76,7 +75,7 @@
 
 // ---- the owner's side: jobs
 
-// noteFailedJobs takes in which jobs failed on a machine.
+// noteFailedJobs records which jobs failed on a machine.
 func (o *Owner) noteFailedJobs(v *board.MachineView) {
 	for _, id := range v.Failed {
 		js := o.active[id]
@@ -90,7 +89,7 @@
 	}
 }
 
-// judgeJobs brings up to date what is thought of the jobs that failed.
+// judgeJobs updates the opinions of the failing jobs.
 func (o *Owner) judgeJobs(now time.Time) {
 	for id, js := range o.failingJobs {
 		if o.active[id] != js {
@@ -116,7 +115,7 @@
 	}
 }
 
-// hasSucceeded tells whether a task of the job was completed, or runs.
+// hasSucceeded tells whether a task of the job was completed, or has run for long enough.
 func (o *Owner) hasSucceeded(js *jobState, now time.Time) bool {
 	if js.job.DoneCount() > 0 {
 		return true
@@ -131,8 +130,8 @@
 	return false
 }
 
-// trialAllowed tells whether a job at fault may be tried now: one task at a time
-// (all of a gang), more and more rarely.
+// trialAllowed tells whether tasks of a job may be started now: of a job at fault one at a time (all of a
+// gang), at growing intervals.
 func (o *Owner) trialAllowed(js *jobState, now time.Time) bool {
 	if js.opinion != placement.AtFault {
 		return true
@@ -144,12 +143,12 @@
 		}
 	}
 	if js.job.Spec.Shape == protocol.Gang && anyInstance {
-		return true // its trial is under way
+		return true // its trial is in progress
 	}
 	return !anyInstance && !now.Before(js.nextTrialAt)
 }
 
-// scheduleNextTrial puts the next trial off.
+// scheduleNextTrial sets when the job may be tried again.
 func (js *jobState) scheduleNextTrial(now time.Time) {
 	js.nextTrialAt = now.Add(placement.NextTrial(js.trialCount))
 	js.trialCount++
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -12,10 +12,10 @@
 	"daledyke/internal/protocol"
 )
 
-// Gangs: all tasks at once or none.
+// Gangs: all tasks start together or none does.
 
-// placeGang starts a gang when all its tasks have room: reserved first, so
-// that none waits in vain on its machine; one task alone needs no reservation.
+// placeGang starts a gang once all its tasks have room. The room is reserved first, so that no task starts and
+// then waits for others that find no room; a gang of one task needs no reservation.
 func (o *Owner) placeGang(js *jobState, now time.Time, rq requests) int {
 	s := js.job.Spec
 	if len(js.pending) > 0 {
@@ -34,7 +34,7 @@
 		}
 		js.advanceSince = time.Time{}
 		for index, list := range tasks {
-			if !now.Before(js.retryAt[index]) { // else it was refused a moment ago
+			if !now.Before(js.retryAt[index]) { // else its last start was refused a moment ago
 				o.addStart(js, index, gang.Attempt, placement.Choice{Machine: list[0].Machine}, false, rq)
 			}
 		}
@@ -46,7 +46,7 @@
 	case placement.GangCompletes:
 		return o.completeGang(js, gang.Attempt, now, rq)
 	case placement.GangBroke:
-		// Make sure after a while that the rest notices.
+		// If the remaining tasks have not stopped by themselves after a while, stop them.
 		if js.incompleteSince.IsZero() {
 			js.incompleteSince = now
 		} else if now.Sub(js.incompleteSince) > 2*o.cfg.GangPeer() {
@@ -68,8 +68,7 @@
 	}
 }
 
-// reserveGang looks for room for all tasks at once, in each zone in turn if
-// they must share one.
+// reserveGang searches for room for all tasks at once, in each zone in turn if they must share one.
 func (o *Owner) reserveGang(js *jobState, now time.Time, rq requests) int {
 	s := js.job.Spec
 	for _, at := range js.retryAt {
@@ -109,7 +108,7 @@
 	return s.Tasks
 }
 
-// updateTeamTurn has a gang wait for its turn within its team's limit.
+// updateTeamTurn updates the turn of a gang's team when the team's limit has no room for the gang.
 func (o *Owner) updateTeamTurn(js *jobState, now time.Time) {
 	s := js.job.Spec
 	if s.Tasks == 1 {
@@ -137,7 +136,7 @@
 	}
 }
 
-// gangZones are the zones in which a gang may be, in an order drawn by chance: "" is all at once.
+// gangZones are the zones that a gang may use, in random order; "" stands for all zones together.
 func (o *Owner) gangZones(s *protocol.JobSpec) []string {
 	if !s.OneZone {
 		return []string{""}
@@ -152,14 +151,14 @@
 	return zones
 }
 
-// pickGangInZones finds a machine for every task of a gang in one of the zones, nil if there is none;
-// only if no zone has room otherwise where other work has to make room.
+// pickGangInZones finds machines for all tasks of a gang in one of the zones, nil if there are none. It
+// considers preemption only if no zone has room without.
 func (o *Owner) pickGangInZones(js *jobState, zones []string, now time.Time) (picks []placement.Choice) {
 	for _, evict := range []bool{false, true} {
 		var shortestFetch time.Duration
 		for _, zone := range zones {
-			// All wait for the one that has its image last. Once, the first zone
-			// with room was taken, while another had the image.
+			// A gang starts when the slowest image fetch is done, which decides between zones: the first zone
+			// with room may lack the image while another has it.
 			if found, fetch := o.pickGang(js, zone, evict, now); found != nil && (picks == nil || fetch < shortestFetch) {
 				picks, shortestFetch = found, fetch
 			}
@@ -171,13 +170,13 @@
 	return nil
 }
 
-// advanceRenewInterval is how often what is kept for a gang is asked for again: a holder keeps it for 6 s.
+// advanceRenewInterval is how often advance reservations are renewed; a holder keeps one for 6 s.
 const advanceRenewInterval = 2 * time.Second
 
-// reserveInAdvance has what comes free on machines kept for a gang that found no room for long: each
-// on a fleet that small work fills waited for as long as that came. It lasts for a turn at most,
-// after which others have theirs. attempt is the number that its permits are for, 0 if any will
-// do.
+// reserveInAdvance reserves, for a gang that has waited for long, the room that will come free on enough
+// machines. On a fleet full of small tasks a gang may otherwise find no room for as long as such tasks keep
+// coming. The reservations last for one turn at most, then other gangs have theirs. attempt is the number that
+// the gang's permits are for, 0 if any will do.
 func (o *Owner) reserveInAdvance(js *jobState, zones []string, attempt uint64, now time.Time, rq requests) {
 	s := js.job.Spec
 	if waited := now.Sub(js.job.Ready); waited < placement.AheadAfter || js.opinion == placement.AtFault || now.Sub(js.advanceSince) < placement.TurnFor+placement.TurnGap {
@@ -192,7 +191,7 @@
 	if machines == nil {
 		return
 	}
-	slog.Info("what comes free is kept for a gang", "job", s.ID, "tasks", s.Tasks, "waited", now.Sub(js.job.Ready))
+	slog.Info("machines reserved in advance for a gang", "job", s.ID, "tasks", s.Tasks, "waited", now.Sub(js.job.Ready))
 	js.advanceSince, js.advanceRenewedAt = now, now
 	attempt = cmp.Or(attempt, o.newAttempt())
 	for index, m := range machines {
@@ -206,8 +205,8 @@
 	a.Starts[len(a.Starts)-1].Ahead = true
 }
 
-// renewAdvanceReservations goes on keeping what comes free for a gang, as long as it is not enough on all its
-// machines and its turn lasts; it tells whether it does.
+// renewAdvanceReservations keeps the advance reservations of a gang until there is room on all its machines or
+// its turn ends. It returns false once there is room on all.
 func (o *Owner) renewAdvanceReservations(js *jobState, tasks map[int][]*board.Instance, attempt uint64, now time.Time, rq requests) bool {
 	hasRoom := true
 	for _, list := range tasks {
@@ -217,7 +216,7 @@
 		return false
 	}
 	if now.Sub(js.advanceSince) > placement.TurnFor {
-		o.stopGang(js, 0, now, rq) // others' turn
+		o.stopGang(js, 0, now, rq) // the next turn is for other gangs
 		js.blockedUntil = now.Add(time.Second)
 		return true
 	}
@@ -230,8 +229,8 @@
 	return true
 }
 
-// gangPermits gives the number of a gang's next attempt, 0 if any will do, and false
-// if quotas don't let it start yet; then permits for all of it are wanted.
+// gangPermits returns the number of a gang's next attempt, 0 if any will do. It returns false if quotas do not
+// allow the gang to start yet, and then requests permits for all its tasks.
 func (o *Owner) gangPermits(js *jobState, now time.Time) (attempt uint64, ok bool) {
 	if o.account(js) == "" {
 		return 0, true
@@ -247,7 +246,7 @@
 	if len(missingPermits) == 0 && sameAttempt {
 		return attempt, true
 	}
-	clear(js.permits) // those of an attempt of which some have lapsed
+	clear(js.permits) // some permits of the attempt have lapsed
 	all := make([]int, js.job.Spec.Tasks)
 	for index := range all {
 		all[index] = index
@@ -256,9 +255,8 @@
 	return 0, false
 }
 
-// pickGang finds a machine for every task of a gang, if there is one, and how
-// long it takes until the last of them has its image; with evict also machines
-// where other work has to make room.
+// pickGang finds machines for all tasks of a gang, if there are any, and returns how long the slowest image
+// fetch takes. With evict it also considers preemption.
 func (o *Owner) pickGang(js *jobState, zone string, evict bool, now time.Time) (picks []placement.Choice, fetch time.Duration) {
 	p := o.placingFor(js, zone)
 	var makeRoom func() (placement.Choice, bool)
@@ -280,7 +278,7 @@
 		}
 		searched++
 		if reserved {
-			if o.teamLimitAllows(js, 0) { // it counts already
+			if o.teamLimitAllows(js, 0) { // the usage includes its reservation already
 				o.addStart(js, index, attempt, placement.Choice{Machine: instances[0].Machine}, false, rq)
 			}
 			continue
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -10,20 +10,18 @@
 	"daledyke/internal/protocol"
 )
 
-// The owner's side of moves: a service's replica on a machine that is being vacated is
-// started elsewhere, in room that is reserved before it is stopped. Each step follows from
-// what the board shows, so that whoever owns the job by then goes on with it:
+// The owner's side of moves: a service's replica on a machine that is being vacated is started elsewhere, in
+// room that is reserved before the replica is stopped. Each step follows from the board alone, so a new owner
+// of the job continues a move:
 //
-//	runs on a machine that is vacated           room is reserved on another
-//	the same, and room is reserved for it       it is stopped
-//	only the room is left                       it is started there
+//	replica on a vacated machine, no reservation      reserve room on another machine
+//	replica on a vacated machine, and a reservation   stop the replica
+//	a reservation only                                start the replica there
 //
-// A reservation lapses by itself after some seconds; what was stopped meanwhile is placed
-// as any other task that is missing. Nothing is written for a move: what a job wants
-// stands in its record, and where it runs nowhere but on the machines.
+// A reservation expires after some seconds; a replica stopped by then is placed like any other missing task. A
+// move writes no records: a job's record holds what it wants, and only the machines hold where it runs.
 
-// moveReplica takes the next step for replicas of a service that are to be elsewhere, one at a
-// time.
+// moveReplica takes the next step for a service's replicas that have to move, one at a time.
 func (o *Owner) moveReplica(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
 	if s.Shape != protocol.Service || js.job.Final() || js.missing > 0 || len(js.pending) > 0 {
@@ -46,14 +44,14 @@
 			}
 		}
 		switch {
-		case reservation != nil && current == nil: // what is left of it elsewhere has exited
+		case reservation != nil && current == nil: // the old replica has exited
 			o.addStart(js, index, reservation.Attempt, placement.Choice{Machine: reservation.Machine}, false, rq)
 			return
 		case reservation != nil && current != nil && current.Machine.Vacates:
 			o.requestStop(current, 0, now, rq)
 			return
 		case reservation != nil || current == nil || !current.Running():
-			return // something is under way already
+			return // a step is in progress already
 		case current.Machine.Vacates && now.Sub(current.Ran) >= balance.SettledAfter:
 			candidate = current
 		}
@@ -69,16 +67,16 @@
 	}
 }
 
-// findMoveTarget finds a machine to which a replica had better move from where it is.
+// findMoveTarget finds a better machine for a replica than the one where it runs.
 func (o *Owner) findMoveTarget(js *jobState, from *board.Instance) (placement.Choice, bool) {
 	p := o.placingFor(js, "")
-	p.Zones[from.Machine.Zone]-- // it is gone from there before it starts
+	p.Zones[from.Machine.Zone]-- // the replica stops there before it starts elsewhere
 	if p.Zones[from.Machine.Zone] == 0 {
 		delete(p.Zones, from.Machine.Zone)
 	}
-	p.Sample = len(o.board.Machines) // it is rare enough to look at all
-	// Away from where it costs far more than elsewhere it may go to a machine that nothing
-	// else keeps, and fetch its image there.
+	p.Sample = len(o.board.Machines) // moves are rare enough to examine all machines
+	// From a type of machine where it costs far more than on others, a replica may also move to a machine that
+	// runs no service, and fetch its image there.
 	misplaced := p.Dear[from.Machine.Type]
 	maxFetch := time.Duration(0)
 	if misplaced {
@@ -95,10 +93,10 @@
 	return c, ok && p.Fetch(c.Machine) <= maxFetch
 }
 
-// maxMoveFetch is the longest fetch that a replica is moved for.
+// maxMoveFetch is the longest image fetch accepted for a move.
 const maxMoveFetch = 10 * time.Second
 
-// runsService tells whether a machine stays for the services on it.
+// runsService tells whether a machine runs a service, which keeps it in the fleet.
 func (o *Owner) runsService(m *board.Machine) bool {
 	for _, i := range m.Instances {
 		if js := o.jobs[i.Job]; js != nil && !i.Exited() && js.job.Spec.Shape == protocol.Service {
--- a/internal/coordination/moves_test.go
+++ b/internal/coordination/moves_test.go
@@ -14,17 +14,16 @@
 	"daledyke/internal/protocol"
 )
 
-// TestMovesDuringFailures: twelve services fill six machines in pairs; half of them are
-// cancelled, one on each machine, so that the rest is to be moved together and machines
-// given back. At the very moment when the first of them was stopped and is not started yet,
-// or with others shortly before, something fails. Nothing may run twice or be forgotten, all
-// six run in the end and, where nothing is lost, on fewer machines.
+// TestMovesDuringFailures injects a failure while replicas move. Twelve services fill six machines in pairs;
+// one of each pair is cancelled, so that the others are packed together and machines are returned. The failure
+// comes when the first replica has been stopped and not yet started elsewhere, or a little later. No task may
+// run twice or be lost; all six services run in the end, on fewer machines where none is lost.
 func TestMovesDuringFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// inject is what fails, given the machine that the task left and all that stay.
+		// inject causes the failure, given the machine that the replica left and the services that stay.
 		inject func(w *world, from string, stay []string)
-		// delay is when it fails, counted from the first move's stop.
+		// delay is the time of the failure after the first move's stop.
 		delay time.Duration
 	}{
 		{name: "nothing", inject: func(*world, string, []string) {}},
@@ -57,7 +56,7 @@
 				}
 			}
 		}},
-		{name: "the state service vanishes and an owner with it", inject: func(w *world, _ string, _ []string) {
+		{name: "the state service is unavailable and an owner crashes", inject: func(w *world, _ string, _ []string) {
 			w.em.State.Outage(true)
 			w.crash("c1")
 			time.Sleep(4 * time.Second)
@@ -69,7 +68,7 @@
 			time.Sleep(20 * time.Second)
 			w.cut([]string{"off"})
 		}},
-		{name: "urgent work comes and takes all room", inject: func(w *world, _ string, _ []string) {
+		{name: "urgent work takes all room", inject: func(w *world, _ string, _ []string) {
 			w.meanwhile("submit", []string{"wk-90", "array", "40", "urgency=critical", "run=10s", "types=small"})
 		}},
 		{name: "all but one are cancelled", inject: func(w *world, _ string, stay []string) {
@@ -84,7 +83,7 @@
 	}
 }
 
-// machinesInUse are the machines that tasks are on.
+// machinesInUse are the machines that run tasks.
 func (w *world) machinesInUse() (ids []string) {
 	w.em.Rules(func(r *history.Checker) {
 		for k := range 40 {
@@ -108,7 +107,7 @@
 		}
 	}
 	time.Sleep(40 * time.Second)
-	// One of each machine goes.
+	// Cancel one service of each pair.
 	staying, cancelled := map[string]string{}, map[string]bool{}
 	for k := range 12 {
 		id := fmt.Sprintf("wk-%d", 10+k)
@@ -130,7 +129,7 @@
 		}
 	}
 	before, stopped := w.machinesInUse(), make(chan string, 100)
-	w.em.Rules(func(*history.Checker) { // on the goroutine that calls it
+	w.em.Rules(func(*history.Checker) { // w.watch is set on the goroutine that calls it
 		w.watch = func(e history.Event) {
 			if id, _, _ := strings.Cut(e.Task, "/"); e.Kind == history.Off && !cancelled[id] && e.Cause == "halted" {
 				select {
@@ -145,7 +144,7 @@
 		time.Sleep(delay)
 		inject(w, from, slices.Sorted(maps.Values(staying)))
 	case <-time.After(3 * time.Minute):
-		t.Fatalf("nothing is moved of %d machines, %d of them in use", w.em.Made(), len(before))
+		t.Fatalf("no replica was moved; %d machines were rented, %d of them are in use", w.em.Made(), len(before))
 	}
 	time.Sleep(3 * time.Minute)
 	cancelledLater := 0
@@ -155,7 +154,7 @@
 		if _, st := w.ask("GET", "/v1/jobs/"+id, nil); st.Status == protocol.Cancelled {
 			cancelledLater++
 		} else if len(on) != 1 {
-			t.Errorf("%s is on %v", id, on)
+			t.Errorf("%s runs on %v", id, on)
 		}
 	}
 	if after := w.machinesInUse(); cancelledLater == 0 && len(after) >= len(before) {
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -19,15 +19,15 @@
 	"daledyke/internal/ring"
 )
 
-// HolderCaller reaches a holder: a sibling's over net/rpc, or our own.
+// HolderCaller sends requests to a holder: to a sibling's over net/rpc, or to this controller's own.
 type HolderCaller interface {
 	Feed(ctx context.Context, a FeedArgs, r *board.News) error
 	Ask(ctx context.Context, a AskArgs, r *AskReply) error
 	Drain(ctx context.Context, a DrainArgs) error
 }
 
-// Owner places the tasks of the jobs in this controller's range of the ring,
-// and keeps the board that everything else here is decided by.
+// Owner places the tasks of the jobs in this controller's range of the ring. It keeps the board, the view of
+// all machines that its decisions are based on.
 type Owner struct {
 	actor
 	cfg     *config.Config
@@ -40,35 +40,34 @@
 	machineTypes map[string]protocol.MachineType
 	jobs         map[string]*jobState
 	active       map[string]*jobState // not final
-	// unresolved are the active jobs of which a start's outcome, or what former
-	// owners started, is not known yet.
+	// unresolved are the active jobs for which the outcome of a start, or what former owners started, is not
+	// known yet.
 	unresolved         map[string]*jobState
 	registeredMachines map[string]*bookkeeping.Machine
 	rosters            map[int]bookkeeping.Roster
-	removedMachines    recent // machines that the registry dropped
+	removedMachines    recent // machines that were dropped from the registry
 
-	windows          []*bookkeeping.Window // those obeyed in a row without a gap, bounded
+	windows          []*bookkeeping.Window // consecutive windows that were obeyed, bounded in number
 	latestWindow     *bookkeeping.Window
-	gainRevisions    map[uint64]uint64 // gain window -> jobs created after this revision are new
+	gainRevisions    map[uint64]uint64 // by gain window: former owners started no job created after this revision
 	fetchingRevision map[uint64]bool
 
 	seq      uint64
-	inFlight map[string]bool // holders with a request under way
+	inFlight map[string]bool // holders with a request in progress
 	peers    map[string]*peerState
-	// handleStray is told what siblings say of this controller's machines that reported to them.
+	// handleStray receives a sibling's report of a machine of this controller that reported to the sibling.
 	handleStray func(s board.Stray, told bool, heard time.Time)
-	// failingJobs are active jobs of which tasks failed; think is told what is
-	// thought of them.
+	// failingJobs are active jobs with failed tasks. publishOpinion passes on the opinion of a job.
 	failingJobs    map[string]*jobState
 	judgedAt       time.Time
 	publishOpinion func(job string, o placement.Opinion)
 
-	// writingFinal and writingPartial: what ends jobs, and other results, is being written.
+	// writingFinal and writingPartial: a write of results that end jobs, or of other results, is in progress.
 	writingFinal, writingPartial bool
-	// unarchived are jobs that are over and whose records have not been moved yet.
+	// unarchived are the final jobs whose records have not been archived yet.
 	unarchived       map[string]*bookkeeping.Job
 	archiving        bool
-	lookingUp        bool // for jobs that are not known
+	lookingUp        bool // a lookup of unknown jobs is in progress
 	addFinalJob      func(*bookkeeping.Job)
 	dirty            bool
 	plannedAt        time.Time
@@ -76,89 +75,89 @@
 	rng              *rand.Rand
 	unmetNeeds       map[needKind]unmetNeed
 	recentPlacements placement.Lately
-	// turns are those of teams' large jobs, by team.
+	// turns holds, by team, the large job whose turn it is to start within the team's limit.
 	turns map[string]*placement.Turn
-	// runTimes are the run times that were seen, held how many tasks wait in this round for room where
-	// their image is, by image.
+	// runTimes are the observed run times. waitingForImage counts by image the tasks that wait, in this round,
+	// for room on a machine that has their image.
 	runTimes        learn.Runs
 	waitingForImage map[string]int
-	// startedMoves is how many startedMoves of replicas were begun.
+	// startedMoves counts the moves of replicas that were started.
 	startedMoves int
-	// wantedImageSet are the images of tasks that are not begun, as they were at wantedAt.
+	// wantedImageSet are the images of tasks that have not been started, as of wantedImagesAt.
 	wantedImageSet map[string]bool
 	wantedImagesAt time.Time
 
-	// usable, scarceNow and teamUsageCache are worked out once a round.
+	// teamUsageCache, usableCache and scarceTypes are computed once a round.
 	teamUsageCache *teamUsage
 	usableCache    []*board.Machine
 	scarceTypes    map[string]bool
 
-	// fleetCache and toldStill serve what is told of jobs that wait; refused are
-	// kinds of machines that the cloud has none of, as a leader knows.
+	// fleetCache and standstillLoggedAt serve the reports on waiting jobs. refusedKinds are the kinds of
+	// machines of which the cloud has none; only a leader knows them.
 	fleetCache         fleetSummary
 	standstillLoggedAt time.Time
 	refusedKinds       []fleet.Kind
 
 	quotas quotas
 
-	// siblingSessionValid: some sibling says that its session lives; siblingHeard: some was heard of
-	// at all. othersServed is when the state service last did what any of them asked, in
-	// milliseconds.
+	// siblingSessionValid: some sibling reports that its session is valid. siblingHeard: some sibling was
+	// heard of recently. siblingServedMs is when the state service last served a request of any sibling, in
+	// Unix milliseconds.
 	siblingSessionValid, siblingHeard atomic.Bool
 	siblingServedMs                   atomic.Int64
 }
 
 type peerState struct {
 	incarnation, version uint64
-	fence                uint64 // sequence below which requests are void
-	answeredIncarnation  uint64 // the incarnation of ours that it answered last
+	fence                uint64 // requests with a lower sequence number are void
+	answeredIncarnation  uint64 // the incarnation of this controller that it answered last
 	sessionValid         bool
 	heardAt, servedAt    time.Time
-	generation           int // of its process, as its session's record says
+	generation           int // of its process, from its session's record
 }
 
 type jobState struct {
 	job *bookkeeping.Job
-	// firstSeen is when this controller first saw the job, readyAt when it saw that
-	// all those that it needs are done.
+	// firstSeen is when this controller first saw the job, readyAt when it saw that all jobs it needs are
+	// done.
 	firstSeen, readyAt time.Time
-	// shares are the blocks of its tasks that are ours to place, in their order.
+	// shares are the blocks of its tasks that this controller places, in order.
 	shares []*share
-	// gainWindow is the window since which we own the job itself without a break, 0 if we
-	// don't: its owner, who has its first block, records its results and ends it.
+	// gainWindow is the window since which this controller has owned the job itself without a break, 0 if it
+	// does not own it. The job's owner has its first block, records its results and ends it.
 	gainWindow uint64
 	pending    map[int]*pendingStart
 	retryAt    map[int]time.Time
 	errorCount int
-	// failedOn are machines on which tasks of the job failed, each with whether
-	// it was sound otherwise; opinion is what is thought of the job for it.
+	// failedOn are the machines on which tasks of the job failed, each with whether it was sound otherwise.
+	// opinion is the resulting opinion of the job.
 	failedOn    map[string]bool
 	opinion     placement.Opinion
 	trialCount  int
 	nextTrialAt time.Time
-	// incompleteSince is since when a running gang lacks a task.
+	// incompleteSince is since when a running gang has lacked a task.
 	incompleteSince time.Time
-	blockedUntil    time.Time // no room was found; look again then
-	nextMoveAt      time.Time // no replica is moved before
-	// advanceSince is since when what comes free is kept for it, a gang, advanceRenewedAt when that was last
-	// asked for.
+	blockedUntil    time.Time // no room was found; the next search is then
+	nextMoveAt      time.Time // no replica is moved earlier
+	// advanceSince is since when machines have been reserved in advance for the job, a gang; advanceRenewedAt
+	// is when these reservations were last renewed.
 	advanceSince, advanceRenewedAt time.Time
 
-	// stale: something changed since it was last reconciled; missing is how many tasks of
-	// settled blocks it found neither done nor begun nor asked for.
+	// stale: something changed since the last reconcile. missing is how many tasks of settled blocks the last
+	// reconcile found neither done nor started nor requested.
 	stale        bool
 	reconciledAt time.Time
 	recordedAt   time.Time
 	missing      int
 
-	// permits are those of its team's quotas that are not used yet, binds the
-	// account whose limit lets no more start, wantAt when to ask again.
+	// permits are the unused permits from its team's quotas, limitingAccount is the account whose limit
+	// prevents more starts, nextPermitRequest is when to ask again.
 	permits           map[int]*permit
 	limitingAccount   string
 	nextPermitRequest time.Time
 }
 
-// NewOwner makes the actor.
+// NewOwner creates an owner; Run starts it.
 func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, addFinalJob func(*bookkeeping.Job), publishOpinion func(string, placement.Opinion), lenders map[string]LendCaller) *Owner {
 	known := board.New()
 	known.StartsLastFor = commandLifetime(c)
@@ -171,7 +170,7 @@
 		classes: map[string]*fleet.Class{}, unarchived: map[string]*bookkeeping.Job{}, failingJobs: map[string]*jobState{}, unmetNeeds: map[needKind]unmetNeed{}, turns: map[string]*placement.Turn{}, recentPlacements: placement.Lately{HalfLife: recentPlacementHalfLife}}
 }
 
-// Run follows all holders' feeds and runs the actor until its context ends.
+// Run follows the feeds of all holders and runs the actor until its context ends.
 func (o *Owner) Run() {
 	for name, h := range o.holders {
 		o.peers[name] = &peerState{}
@@ -217,7 +216,7 @@
 	}
 }
 
-// maxFinalJobs bounds how many jobs that are over are kept at hand.
+// maxFinalJobs bounds how many final jobs are kept in memory.
 const maxFinalJobs = 8000
 
 func (o *Owner) evictFinalJobs() {
@@ -239,7 +238,7 @@
 		}
 		return
 	}
-	// The registry drops a machine once its return was answered: it is gone.
+	// The registry drops a machine once its return to the cloud was answered: the machine is gone.
 	delete(o.registeredMachines, id)
 	o.removedMachines.add(id)
 	touched := map[string]bool{}
@@ -263,7 +262,7 @@
 
 const (
 	planInterval = 100 * time.Millisecond
-	// reconcileInterval is how often a job is looked at of which nothing new is known.
+	// reconcileInterval is how often a job without news is reconciled.
 	reconcileInterval = time.Second
 )
 
@@ -297,15 +296,14 @@
 	}
 }
 
-// siblingReportTTL is for how long what a sibling said of itself counts.
+// siblingReportTTL is for how long a sibling's report of its own state counts.
 const siblingReportTTL = 6 * time.Second
 
-// recentPlacementHalfLife is the half-life of what teams had placed: as long as room takes to come
-// free by itself, give or take.
+// recentPlacementHalfLife is the half-life of teams' recent placements: about the time in which room comes
+// free by itself.
 const recentPlacementHalfLife = 15 * time.Second
 
-// plan works out the difference between what the jobs want and what is, and
-// asks the holders for it.
+// plan computes the difference between what the jobs want and what exists, and requests it from the holders.
 func (o *Owner) plan(now time.Time) {
 	if !o.session.Valid() || o.window() == nil {
 		return
@@ -315,7 +313,7 @@
 	var outcomes []bookkeeping.Outcome
 	for _, js := range o.active {
 		if len(js.shares) == 0 || js.job.Waits > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
-			continue // there may be thousands that wait for others
+			continue // thousands of jobs may wait for others
 		}
 		if js.stale || now.Sub(js.reconciledAt) >= reconcileInterval {
 			js.stale, js.reconciledAt = false, now
@@ -360,7 +358,8 @@
 	}
 }
 
-// startDeadline is what jobs of one priority are ordered by.
+// startDeadline orders jobs of one priority: the latest start that meets the job's end, or a minute after the
+// job was ready if it has none.
 func (o *Owner) startDeadline(js *jobState) time.Time {
 	if end := js.job.End; !end.IsZero() {
 		return end.Add(-js.job.Spec.Estimate())
@@ -368,12 +367,12 @@
 	return js.job.Ready.Add(time.Minute)
 }
 
-// compareStartDeadline orders jobs of one priority.
+// compareStartDeadline orders jobs of one priority by start deadline, then by id.
 func (o *Owner) compareStartDeadline(a, b *jobState) int {
 	return cmp.Or(o.startDeadline(a).Compare(o.startDeadline(b)), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 }
 
-// addPendingStarts adds up the room of starts that the board does not show yet.
+// addPendingStarts sums up, by machine, the room promised to starts that the board does not show yet.
 func (o *Owner) addPendingStarts() {
 	for _, m := range o.board.Machines {
 		m.Promised = protocol.Room{}
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -11,10 +11,9 @@
 	"daledyke/internal/protocol"
 )
 
-// The owner's side of placing: what may be used, by whom, and what may be stopped for it.
+// The owner's side of placement: which machines and limits apply, and what may be preempted.
 
-// usableMachines are the machines on which tasks may be started, as this round
-// sees them.
+// usableMachines are the machines on which tasks may be started, computed once a round.
 func (o *Owner) usableMachines() []*board.Machine {
 	if o.usableCache != nil {
 		return o.usableCache
@@ -32,18 +31,17 @@
 	return o.usableCache
 }
 
-// placingFor prepares to place tasks of a job on machines of a zone, or of any
-// if it is empty.
+// placingFor prepares the placement of a job's tasks on machines of a zone, or of any zone if it is empty.
 func (o *Owner) placingFor(js *jobState, zone string) *placement.Placing {
 	s := js.job.Spec
 	p := &placement.Placing{Spec: s, Zone: zone, Avoid: js.failedOn, Types: o.machineTypes, Scarce: o.scarceTypes, Sample: o.cfg.Sample, Rand: o.rng}
 	if s.Shape == protocol.Service && placement.RunsOnOthers(s, o.machineTypes, o.scarceTypes) {
-		// Other machines can be had in about the time that they take to boot.
+		// Other machines become available in about their boot time.
 		ready, _ := fleet.Ready(o.machineTypes, s, s.ImageGB)
 		p.Keep = time.Since(js.job.Ready) < o.startObjective(s.Class, 0)+ready
 	}
 	if p.Dear = placement.Dear(s, o.machineTypes); p.Dear != nil {
-		// What is late anyway waits for a machine that costs less, as long as there are some.
+		// A task that is late already waits for a machine that costs less, as long as the cloud may have some.
 		ready, _ := fleet.Ready(o.machineTypes, s, s.ImageGB)
 		aim, waited := o.startObjective(s.Class, 0), time.Since(js.job.Ready)
 		p.Shun = waited > aim && waited < aim+2*ready && o.obtainable(s, p.Dear)
@@ -70,7 +68,7 @@
 	return p
 }
 
-// findScarceTypes are the types that some class seen lately cannot do without.
+// findScarceTypes are the machine types that some recently seen class cannot do without.
 func (o *Owner) findScarceTypes() map[string]bool {
 	return placement.Scarce(func(yield func(*protocol.JobSpec) bool) {
 		for _, c := range o.classes {
@@ -81,17 +79,16 @@
 	}, o.machineTypes)
 }
 
-// teamUsage is what the teamUsage' work takes, worked out once a round: for each task that was
-// placed anew, the owner of a large team went through all tasks of all teamUsage, which was
-// half of its work at 1,500 machines.
+// teamUsage is the room that the teams' work takes, computed once a round: computing it for each placed task
+// took half of a large team's owner's time at 1,500 machines.
 type teamUsage struct {
-	// placed is that of tasks on the board, pending that of starts that are under way.
+	// placed is the room of tasks on the board, pending that of starts in progress.
 	placed, pending map[string]protocol.Room
-	// hasUnknownJobs: the board shows tasks of jobs that are not known, of whatever team.
+	// hasUnknownJobs: the board shows tasks of unknown jobs, which may be of any team.
 	hasUnknownJobs bool
 }
 
-// currentTeamUsage is what the teams' work takes, as this round sees it.
+// currentTeamUsage is the room that the teams' work takes, computed once a round.
 func (o *Owner) currentTeamUsage() *teamUsage {
 	if o.teamUsageCache != nil {
 		return o.teamUsageCache
@@ -124,7 +121,7 @@
 	return t
 }
 
-// claim is a job as it is weighed against others, where teams use so much.
+// claim is a job as preemption compares it with others, given the teams' usage.
 func (o *Owner) claim(j *bookkeeping.Job, usage map[string]protocol.Room) placement.Claim {
 	s := j.Spec
 	c := placement.Claim{Spec: s, Rank: j.Rank, Filler: j.Filler}
@@ -134,7 +131,7 @@
 	return c
 }
 
-// price is what stopping a task for one of the given claim costs.
+// price returns a function that prices the preemption of a task for the claimant.
 func (o *Owner) price(claimant placement.Claim, usage map[string]protocol.Room, now time.Time) func(*board.Instance) (placement.Victim, bool) {
 	return func(i *board.Instance) (placement.Victim, bool) {
 		js := o.jobs[i.Job]
@@ -145,30 +142,29 @@
 	}
 }
 
-// teamLimitAllows tells whether the team's limit leaves room for more. The team's
-// jobs all have one owner, whose board and open requests show all that may be
-// running.
+// teamLimitAllows tells whether the team's limit leaves room for more tasks of the job. All jobs of a limited
+// team have one owner, whose board and pending starts show all that may be running.
 func (o *Owner) teamLimitAllows(js *jobState, more int) bool {
 	t := o.cfg.Team(js.job.Spec.Team)
 	if t == nil || !t.Limits(js.job.Spec.Need()) {
 		return t != nil
 	}
 	if o.bornBy(js.gainWindow) == 0 {
-		return false // not everything that runs is known yet
+		return false // some running tasks may not be known yet
 	}
 	if o.blockedByTurn(js, t.Name) {
 		return false
 	}
 	usage := o.currentTeamUsage()
 	if usage.hasUnknownJobs {
-		return false // it may be one of the team's
+		return false // the unknown job may be the team's
 	}
 	total := usage.placed[t.Name].Add(usage.pending[t.Name]).Add(js.job.Spec.Need().Scale(float64(more)))
 	return t.Admits(total)
 }
 
-// blockedByTurn tells whether a job has to wait since a larger one of its team has its turn, as long as
-// that one waits.
+// blockedByTurn tells whether a job has to wait because it is the turn of a larger job of its team, which
+// still waits.
 func (o *Owner) blockedByTurn(js *jobState, team string) bool {
 	t := o.turns[team]
 	if t == nil || !t.Bars(js.job.Spec.ID, js.job.Rank, time.Now()) {
@@ -178,8 +174,8 @@
 	return other != nil && other.missing > 0 && len(other.shares) > 0
 }
 
-// placeJob starts what is missing of a job, as far as there is room. It gives
-// back how many tasks it looked for a machine for.
+// placeJob starts the missing tasks of a job as far as there is room. It returns for how many it searched a
+// machine.
 func (o *Owner) placeJob(js *jobState, now time.Time, rq requests) int {
 	if js.job.Spec.Shape == protocol.Gang {
 		return o.placeGang(js, now, rq)
@@ -188,7 +184,7 @@
 	tasks := o.board.Tasks[s.ID]
 	searched := 0
 	var p *placement.Placing
-	delayed := -1      // how many had better wait for room where the image is, -1 if not known yet
+	delayed := -1            // how many tasks should wait for room where the image is, -1 if not computed yet
 	var missingPermits []int // tasks that need a permit
 	defer func() { o.want(js, missingPermits, 0, false, now) }()
 	for index := range js.remainingTasks {
@@ -238,8 +234,7 @@
 	return searched
 }
 
-// remainingTasks goes through the tasks of a job's settled blocks in which some are neither done
-// nor begun.
+// remainingTasks yields the tasks of settled blocks in which some are neither done nor started.
 func (js *jobState) remainingTasks(yield func(int) bool) {
 	for _, sh := range js.shares {
 		if !sh.settled || sh.left <= 0 {
@@ -256,7 +251,7 @@
 	}
 }
 
-// findMachine finds a machine with room, or one where room may be made.
+// findMachine finds a machine with room, or one where preemption makes room.
 func (o *Owner) findMachine(js *jobState, p *placement.Placing, now time.Time) (placement.Choice, bool) {
 	c, ok := p.BestFit()
 	if ok && p.Fetch(c.Machine) <= o.startObjective(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
@@ -268,16 +263,16 @@
 	return c, ok
 }
 
-// imageWaitInterval is for how long tasks that wait for room where their image is are left alone.
+// imageWaitInterval is how long tasks that wait for room where their image is are not considered.
 const imageWaitInterval = 300 * time.Millisecond
 
-// countWaitingForImage is how many of a job's missing tasks had better wait for room where their image is
-// than be started as chosen.
+// countWaitingForImage is how many of a job's missing tasks should wait for room on a machine that has their
+// image rather than start on the candidate c.
 func (o *Owner) countWaitingForImage(js *jobState, p *placement.Placing, c *placement.Choice, missing int, now time.Time) int {
 	fetch := p.Fetch(c.Machine)
 	s := js.job.Spec
 	if fetch == 0 || len(c.Evict) > 0 || o.cfg.Patience == 0 || s.Shape == protocol.Service {
-		return 0 // a service is missed as long as it is not there
+		return 0 // a service is unavailable until it starts
 	}
 	rate := p.Ends(o.usableMachines(), o.wantedImages(now), o.expectedEnd)
 	n := placement.Hold(o.cfg.Patience, rate, o.waitingForImage[s.Image], fetch, now.Sub(js.job.Ready), o.startObjective(s.Class, time.Minute))
@@ -285,7 +280,8 @@
 	return n
 }
 
-// expectedEnd is what is known of when a task ends; services and what is not known never do.
+// expectedEnd is what is known of a task's end: its room and mean run time. Services and tasks of unknown jobs
+// count as never ending.
 func (o *Owner) expectedEnd(i *board.Instance) placement.Ending {
 	js := o.jobs[i.Job]
 	if js == nil || js.job.Spec.Shape == protocol.Service {
@@ -294,8 +290,8 @@
 	return placement.Ending{Need: js.job.Spec.Need(), Mean: o.runTimes.Mean(js.job.Spec.Class, js.job.Spec.Estimate())}
 }
 
-// wantedImages are the images of jobs, whoever's, of which tasks are not begun. It is worked
-// out once a second.
+// wantedImages are the images of all active jobs, of any owner, with tasks that have not been started. It is
+// computed once a second.
 func (o *Owner) wantedImages(now time.Time) map[string]bool {
 	if o.wantedImageSet == nil || now.Sub(o.wantedImagesAt) >= time.Second {
 		o.wantedImageSet, o.wantedImagesAt = map[string]bool{}, now
@@ -308,7 +304,7 @@
 	return o.wantedImageSet
 }
 
-// evictsOnlyFiller tells whether all that has to go for a choice is filler work.
+// evictsOnlyFiller tells whether a choice evicts nothing but filler work.
 func (o *Owner) evictsOnlyFiller(c *placement.Choice) bool {
 	for _, task := range c.Evict {
 		job, _, _ := protocol.SplitTask(task)
@@ -319,12 +315,12 @@
 	return true
 }
 
-// findPreemption finds a machine where stopping other work makes room for a task, if
-// that is better than what there is without (nil: nothing).
+// findPreemption finds a machine where preemption makes room for a task, if that costs less than free, the
+// best machine with room (nil: none).
 func (o *Owner) findPreemption(js *jobState, p *placement.Placing, free *board.Machine, now time.Time) (placement.Choice, bool) {
 	s := js.job.Spec
 	if js.opinion == placement.AtFault {
-		return placement.Choice{}, false // nothing makes way for what will fail
+		return placement.Choice{}, false // nothing is preempted for a job that is expected to fail
 	}
 	var usage map[string]protocol.Room
 	if t := o.cfg.Team(s.Team); t != nil && t.Guaranteed() {
@@ -339,8 +335,7 @@
 		otherCost = p.Cost(free)
 	}
 	choice, found := p.Preempt(o.usableMachines(), otherCost, o.price(claimant, usage, now))
-	// Stopping other work is the last resort: as long as the aim leaves time,
-	// room may come free by itself.
+	// Preemption is the last resort: while the start objective leaves time, room may come free by itself.
 	within := o.startObjective(s.Class, time.Minute)
 	if found && free == nil && within-now.Sub(js.job.Ready)-p.Fetch(choice.Machine)-10*time.Second >= within/5 {
 		found = o.evictsOnlyFiller(&choice)
@@ -348,12 +343,13 @@
 	return choice, found
 }
 
-// startObjective is how soon the users want tasks of a class to start, if they say.
+// startObjective is how soon tasks of a class should start by the users' objectives, fallback if there is
+// none.
 func (o *Owner) startObjective(class string, fallback time.Duration) time.Duration {
 	return o.objective(class, "wait", fallback)
 }
 
-// objective is the shortest time of the users' aims of a kind for a class.
+// objective is the shortest time of the objectives of a kind for a class, fallback if there is none.
 func (o *Owner) objective(class, kind string, fallback time.Duration) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, a := range o.cfg.Deployment.Objectives {
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -13,11 +13,10 @@
 	"daledyke/internal/transport"
 )
 
-// What is there of a job: results, exits, tasks that must stop.
+// Reconciling a job with the board: results, exits, tasks that must stop.
 
-// lookUpUnknownJobs asks for jobs of which machines have tasks and the replica knows
-// nothing: a controller that starts does not read those that are over, yet
-// what is left of them takes room, and must be stopped and forgotten.
+// lookUpUnknownJobs reads jobs that have tasks on machines and are missing from the replica. A starting
+// controller does not read final jobs, yet their remaining tasks take room and must be stopped and forgotten.
 func (o *Owner) lookUpUnknownJobs() {
 	if o.lookingUp || len(o.board.Tasks) == 0 {
 		return
@@ -38,7 +37,7 @@
 			if err != nil {
 				break
 			}
-			if j != nil && j.Final() { // others come through the replica
+			if j != nil && j.Final() { // active jobs come through the replica
 				o.addFinalJob(j)
 			}
 		}
@@ -47,23 +46,21 @@
 	}()
 }
 
-// archiveInterval is how often records of jobs that are over are moved, and
-// archiveBatchSize how many at a time.
+// archiveInterval is how often records of final jobs are archived, archiveBatchSize how many at a time.
 const (
 	archiveInterval  = time.Second
 	archiveBatchSize = 32
 )
 
-// archiveJobs has the records of this range's jobs that are over moved to where
-// they are not read at a start. It takes what the state service's budget has
-// to spare.
+// archiveJobs moves the records of this range's final jobs to where a starting controller does not read them.
+// It uses what is left of the state service's request budget.
 func (o *Owner) archiveJobs() {
 	if o.archiving || len(o.unarchived) == 0 || !o.session.Valid() {
 		return
 	}
 	var jobs []*bookkeeping.Job
 	for _, j := range o.unarchived {
-		// What unfinished jobs need stays where a controller that starts reads it.
+		// A job that unfinished jobs need stays where a starting controller reads it.
 		if o.window().OwnerOfBlock(j, 0) == o.cfg.Name && !j.Needed {
 			if jobs = append(jobs, j); len(jobs) == archiveBatchSize {
 				break
@@ -81,14 +78,13 @@
 	}()
 }
 
-// partialResultsInterval is how often results of a job are written that don't finish it:
-// only the last ones are waited for.
+// partialResultsInterval is how often results that do not finish a job are written: users and other jobs wait
+// only for the last results.
 const partialResultsInterval = time.Second
 
-// recordOutcomes writes results; a worker may forget one only afterwards. What ends a
-// job is waited for, by its users and by the jobs that need it: it does not
-// stand in line behind results that end nothing. Of those, jobs with most to
-// tell come first.
+// recordOutcomes writes results; a worker may forget a result only afterwards. Results that end jobs are
+// awaited by users and by dependent jobs, so they are not queued behind others. Among the others, jobs with
+// the most results come first.
 func (o *Owner) recordOutcomes(outcomes []bookkeeping.Outcome) {
 	var finishing, partial []bookkeeping.Outcome
 	for _, out := range outcomes {
@@ -103,7 +99,8 @@
 	o.writeOutcomes(&o.writingPartial, transport.Ordinary, partial)
 }
 
-// writeOutcomes writes outcomes, one round at a time for those of a kind, as busy says.
+// writeOutcomes writes outcomes of one kind, at most one batch at a time: busy is set while a batch is being
+// written.
 func (o *Owner) writeOutcomes(busy *bool, u transport.Urgency, outcomes []bookkeeping.Outcome) {
 	if len(outcomes) == 0 || *busy {
 		return
@@ -115,14 +112,13 @@
 	*busy = true
 	go func() {
 		o.store.Record(o.ctx, u, outcomes)
-		// What was written comes back through the replica.
+		// The written records come back through the replica.
 		pause(o.ctx, 100*time.Millisecond)
 		o.tell(func() { *busy, o.dirty = false, true })
 	}()
 }
 
-// reconcile looks at what is there of a job: results to record, exited attempts
-// to forget, tasks that must stop.
+// reconcile compares a job with the board: results to record, exited attempts to forget, tasks that must stop.
 func (o *Owner) reconcile(js *jobState, now time.Time, rq requests) (out bookkeeping.Outcome) {
 	j := js.job
 	out.Job = j
@@ -143,7 +139,7 @@
 		for _, i := range list {
 			if i.Exited() {
 				if i.Cause == protocol.CauseDone {
-					// The holder has it forgotten once the result is recorded.
+					// The holder has the attempt forgotten once the result is recorded.
 					if js.gainWindow != 0 && !j.TaskDone(index) {
 						out.Tasks = append(out.Tasks, index)
 						o.noteRunTime(js, i, now)
@@ -158,8 +154,8 @@
 			}
 		}
 		for _, i := range list {
-			// Two of one task cannot be by our doing; should it happen, the
-			// younger one goes.
+			// The protocol never starts a task twice; if two instances exist nevertheless, the younger one is
+			// stopped.
 			if sh != nil && !i.Exited() && i.State != board.TaskReserved && (i != oldest && len(list) > 1 || j.TaskDone(index)) {
 				o.requestStop(i, 0, now, rq)
 			}
@@ -176,13 +172,13 @@
 	if j.Spec.Shape == protocol.Gang && len(out.Tasks) > 0 {
 		out.Tasks = out.Tasks[:0]
 		for t := range j.Spec.Tasks {
-			out.Tasks = append(out.Tasks, t) // a gang completes together
+			out.Tasks = append(out.Tasks, t) // a gang completes as a whole
 		}
 	}
 	return out
 }
 
-// noteRunTime notes how long a task ran, once.
+// noteRunTime records how long a task ran, once.
 func (o *Owner) noteRunTime(js *jobState, i *board.Instance, now time.Time) {
 	if !i.Ran.IsZero() {
 		o.runTimes.Note(js.job.Spec.Class, now.Sub(i.Ran))
@@ -190,8 +186,8 @@
 	}
 }
 
-// saveOnLeavingMachines has tasks save what they can on machines that are being taken away;
-// the tasks of a gang must all be told.
+// saveOnLeavingMachines has tasks save their progress on machines that are being taken away; a gang's tasks
+// must all be told.
 func (o *Owner) saveOnLeavingMachines(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
 	if !s.Saves() {
@@ -214,7 +210,7 @@
 	}
 }
 
-// handleExit has an attempt forgotten that ended otherwise than done, and says when to try again.
+// handleExit has the holder forget an attempt that ended unsuccessfully, and sets when to retry the task.
 func (o *Owner) handleExit(js *jobState, index int, i *board.Instance, now time.Time, rq requests) {
 	if now.Sub(i.Asked) < 2*time.Second {
 		return
@@ -224,7 +220,7 @@
 		switch i.Cause {
 		case protocol.CauseError:
 			js.errorCount++
-			if len(js.failedOn) >= 3 { // mostly it is the machine's fault: elsewhere at once
+			if len(js.failedOn) >= 3 { // mostly the machine is at fault: retry elsewhere at once
 				delay = min(30*time.Second, 500*time.Millisecond<<min(js.errorCount, 7))
 			}
 		case "no_room", "in_use", "unknown":
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -13,9 +13,9 @@
 	"daledyke/internal/transport"
 )
 
-// What an owner asks holders to do, and what becomes of it.
+// The owner's requests to holders, and their outcomes.
 
-// requests collects what a planning round asks of each holder.
+// requests collects the requests of a planning round, by holder.
 type requests map[string]*AskArgs
 
 type pendingStart struct {
@@ -42,14 +42,14 @@
 	return a
 }
 
-// newAttempt gives an attempt number that was never used: the controller's
-// incarnation is unique, and the sequence rises within it.
+// newAttempt returns an attempt number that was never used: the session's term is unique, and the sequence
+// number rises within it.
 func (o *Owner) newAttempt() uint64 {
 	o.seq++
 	return uint64(protocol.NewToken(o.session.Term(), o.seq))
 }
 
-// addStart adds a addStart to the round's requests.
+// addStart adds a start to the round's requests.
 func (o *Owner) addStart(js *jobState, index int, attempt uint64, c placement.Choice, reserve bool, rq requests) {
 	m := c.Machine
 	slog.Debug("placing", "job", js.job.Spec.ID, "index", index, "class", js.job.Spec.Class, "machine", m.ID, "evict", len(c.Evict),
@@ -72,8 +72,8 @@
 	m.Promised = m.Promised.Add(ps.need)
 }
 
-// sendRequest makes a request of a holder. Its outcome, if it doesn't come in time,
-// is found out by the feed behind a fence.
+// sendRequest sends a request to a holder. If no reply comes in time, the feed resolves its outcome by a
+// fence.
 func (o *Owner) sendRequest(name string, a *AskArgs) {
 	o.seq++
 	a.ID = protocol.NewToken(o.session.Term(), o.seq)
@@ -108,7 +108,7 @@
 		js := o.active[job]
 		attempt := quota.Attempt{Task: st.Task, Number: st.Attempt}
 		if o.quotas.ghosts[attempt] == pendingStarts[k] {
-			// Its job is over; what became of the start still counts for quotas.
+			// The job is final; the start's outcome still counts for quotas.
 			if refused || err == nil && k < len(r.Refused) && r.Refused[k] != "" {
 				delete(o.quotas.ghosts, attempt)
 			} else if pendingStarts[k].outcomeUnknown = err != nil; err == nil {
@@ -131,7 +131,7 @@
 			js.retryAt[index] = time.Now().Add(300 * time.Millisecond)
 		default:
 			pendingStarts[k].acked, pendingStarts[k].ackIncarnation, pendingStarts[k].ackVersion = true, r.Incarnation, r.Version
-			// The feed may have shown it before the answer came.
+			// The feed may have shown the start before the reply came.
 			if p := o.peers[name]; o.shown(pendingStarts[k], name, p.incarnation, p.version) {
 				delete(js.pending, index)
 			}
--- a/internal/coordination/why.go
+++ b/internal/coordination/status.go
@@ -15,8 +15,8 @@
 
 // Why jobs wait, and for how long: for users, operators and the log.
 
-// fleetSummary is what is on its way: for each type and kind when the next machine
-// should be up. It is worked out once a second and serves all who ask.
+// fleetSummary counts machines by kind: those up, those booting, and in how long the next is due to be up. It
+// is computed once a second for all callers.
 type fleetSummary struct {
 	computedAt time.Time
 	nextReady  map[fleet.Kind]time.Duration
@@ -25,7 +25,7 @@
 	used       map[fleet.Kind]float64
 }
 
-// currentFleet sums up the machines that are there and those that boot.
+// currentFleet summarizes the machines that are up and those that boot.
 func (o *Owner) currentFleet(now time.Time) *fleetSummary {
 	if now.Sub(o.fleetCache.computedAt) < time.Second {
 		return &o.fleetCache
@@ -54,8 +54,8 @@
 	return &o.fleetCache
 }
 
-// waitReason tells waitReason no more of a job's tasks run than do, "" if nothing is missing,
-// and when the next should start, negative if that can't be told.
+// waitReason tells why no more of a job's tasks run, "" if none is missing, and in how long the next should
+// start, negative if that is not known.
 func (o *Owner) waitReason(js *jobState, now time.Time) (reason string, in time.Duration) {
 	s := js.job.Spec
 	w := placement.Wait{Final: js.job.Final(), Held: js.job.Held, Until: js.job.From().Sub(now), Needs: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
@@ -69,8 +69,8 @@
 	return w.Reason()
 }
 
-// nextBooting tells whether machines that fit a job are on their way, and in how long
-// the first of them should have its image, negative if they are late.
+// nextBooting tells whether machines that fit a job are booting, and in how long the first should have its
+// image, negative if they are late.
 func (o *Owner) nextBooting(s *protocol.JobSpec, now time.Time) (ready time.Duration, booting bool) {
 	ready = -1
 	current := o.currentFleet(now)
@@ -87,7 +87,7 @@
 	return ready, booting
 }
 
-// seconds is a duration for people, nil if it is not known.
+// seconds is a duration as a number for display, nil if it is negative (not known).
 func seconds(d time.Duration) *float64 {
 	if d < 0 {
 		return nil
@@ -96,7 +96,7 @@
 	return &s
 }
 
-// jobView is how a job stands.
+// jobView is the status of a job.
 func (o *Owner) jobView(js *jobState, now time.Time) protocol.JobView {
 	s := js.job.Spec
 	v := protocol.JobView{ID: s.ID, Status: js.job.State, Class: s.Class, Team: s.Team, Shape: s.Shape, Priority: string(s.Priority),
@@ -138,7 +138,7 @@
 	return v
 }
 
-// overview is what the owner adds to a controller's overview.
+// overview is the owner's part of a controller's overview.
 func (o *Owner) overview() (v protocol.OwnerView) {
 	now := time.Now()
 	if w := o.window(); w != nil {
@@ -168,7 +168,7 @@
 	return all
 }
 
-// fleetCounts counts machines by type, whatever their zones.
+// fleetCounts counts machines by type and spot, over all zones.
 func (o *Owner) fleetCounts(now time.Time) (all []protocol.FleetCount) {
 	current := o.currentFleet(now)
 	kinds := map[fleet.Kind]*protocol.FleetCount{}
@@ -197,7 +197,7 @@
 	return all
 }
 
-// jobCounts counts the jobs that are not over, and shows those that have waited for longest.
+// jobCounts counts the active jobs and shows those that have waited for longest.
 func (o *Owner) jobCounts(now time.Time) (counts protocol.JobCount, longest []protocol.JobView) {
 	counts = protocol.JobCount{Active: len(o.active), Waiting: map[string]int{}, AsksPending: len(o.unresolved), Unmoved: len(o.unarchived), Moves: o.startedMoves}
 	for _, n := range o.waitingForImage {
@@ -243,15 +243,15 @@
 	return all
 }
 
-// standstillAfter is how long jobs may wait for the first of their tasks to be
-// placed before the log says so, and standstillLogInterval how often it says so again.
+// standstillAfter is how long jobs may wait for their first placed task before the log reports it,
+// standstillLogInterval how often it reports it again.
 const (
 	standstillAfter       = 20 * time.Second
 	standstillLogInterval = 30 * time.Second
 )
 
-// logStandstill has the log tell when placement stands still for jobs of this
-// range, why, and when it goes on.
+// logStandstill logs that placement stands still for jobs of this range, with the reasons, and when it
+// resumes.
 func (o *Owner) logStandstill(now time.Time) {
 	reasons := map[string]int{}
 	oldest, total := "", 0
@@ -280,13 +280,13 @@
 	}
 }
 
-// noCapacityFor tells whether the cloud refused every kind of machine that the
-// job may use, as far as this controller knows: only the leader does.
+// noCapacityFor tells whether the cloud refused every kind of machine that the job may use, as far as this
+// controller knows: only the leader learns of refusals.
 func (o *Owner) noCapacityFor(s *protocol.JobSpec) bool {
 	return len(o.refusedKinds) > 0 && !o.obtainable(s, nil)
 }
 
-// obtainable tells whether the cloud may have machines for a job, of other types than some.
+// obtainable tells whether the cloud may have machines for a job, other than of the excluded types.
 func (o *Owner) obtainable(s *protocol.JobSpec, excluded map[string]bool) bool {
 	return fleet.ToBeHad(o.machineTypes, s, func(k fleet.Kind) bool { return !excluded[k.Type] && !slices.Contains(o.refusedKinds, k) })
 }
--- a/internal/coordination/unmet.go
+++ b/internal/coordination/unmet.go
@@ -10,38 +10,38 @@
 	"daledyke/internal/protocol"
 )
 
-// Kinds of work for which no machine has room now. Once each job had a pause of its own
-// after it found none. Which of them looked first when room came free was a matter of
-// luck then, and so of numbers: a team with a thousand jobs had nearly all of it.
+// Kinds of work for which no machine has room now. The backoff is per kind, not per job: with a backoff per
+// job, chance decided which job searched first when room came free, and a team with a thousand jobs got nearly
+// all of it.
 
-// needKind is work that is alike in where it may run and what may be stopped for it.
+// needKind is a kind of work, alike in where it may run and what may be preempted for it.
 type needKind struct {
 	team, class, types, zone string
 	spot, filler             bool
 	rank                     int
-	// waitSteps is for how long it waitSteps already, in steps, if work may be stopped for it:
-	// with time more may.
+	// waitSteps is how long the job has waited, in steps of waitStep, if work may be preempted for it: the
+	// longer it waits, the more may be.
 	waitSteps int
 }
 
-// unmetNeed is a need that no machine had room for.
+// unmetNeed is a need for which no machine had room.
 type unmetNeed struct {
 	spec      *protocol.JobSpec
 	expiresAt time.Time
 }
 
 const (
-	// unmetNeedTTL is for how long nothing as large of the kind is looked for, unless room comes
-	// up: what may be stopped for it changes with time.
+	// unmetNeedTTL is for how long no equal or larger need of the kind is searched for, unless room comes
+	// free. It is short because what may be preempted changes with time.
 	unmetNeedTTL = 400 * time.Millisecond
-	// waitStep is the step of kinds' waiting times. Once a job that had come late and was due
-	// early kept those from being looked at that had waited for long enough to have work stopped.
+	// waitStep is the step of kinds' waiting times. Without it the failed search of a newer job, sorted first
+	// by its deadline, kept older jobs from a search, though they had waited long enough to preempt work.
 	waitStep = 3 * time.Second
-	// maxUnmetNeeds bounds the kinds.
+	// maxUnmetNeeds bounds the number of kinds.
 	maxUnmetNeeds = 256
 )
 
-// needKindOf is the kind of a job's tasks; false if where they may run is its own matter.
+// needKindOf is the kind of a job's tasks; false if the places where they may run depend on the job itself.
 func (o *Owner) needKindOf(js *jobState, now time.Time) (needKind, bool) {
 	s := js.job.Spec
 	if s.OneZone && s.Tasks > 1 || s.Scatter || len(js.failedOn) > 0 {
@@ -57,7 +57,7 @@
 	return k, true
 }
 
-// noteUnmetNeed notes that no machine has room for a job's tasks.
+// noteUnmetNeed records that no machine has room for a job's tasks.
 func (o *Owner) noteUnmetNeed(js *jobState, now time.Time) {
 	k, ok := o.needKindOf(js, now)
 	if !ok {
@@ -70,8 +70,8 @@
 	o.unmetNeeds[k] = unmetNeed{js.job.Spec, now.Add(unmetNeedTTL)}
 }
 
-// isKnownUnmet tells whether a need no larger was found to have no room a moment ago, and none
-// came up since.
+// isKnownUnmet tells whether a moment ago no machine had room for a need of the same kind that was no larger,
+// and no room has come free since.
 func (o *Owner) isKnownUnmet(js *jobState, now time.Time) bool {
 	if len(o.unmetNeeds) == 0 {
 		return false
@@ -84,7 +84,7 @@
 	return known && now.Before(need.expiresAt) && js.job.Spec.Need().Fits(need.spec.Need())
 }
 
-// dropMetNeeds has kinds looked for again that machines which were shown anew have room for.
+// dropMetNeeds drops the unmet needs for which updated machines have room.
 func (o *Owner) dropMetNeeds(views []board.MachineView) {
 	for k, need := range o.unmetNeeds {
 		if slices.ContainsFunc(views, func(v board.MachineView) bool {
