--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -33,8 +33,8 @@
 	window := func(n uint64, owners ...string) *bookkeeping.Window {
 		return &bookkeeping.Window{Number: n, Owners: owners}
 	}
-	accepts := func(window uint64) bool {
-		_, ok := h.serve(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: window})
+	accepts := func(number uint64) bool {
+		_, ok := h.serve(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: number})
 		return ok
 	}
 	h.obey(window(1, "c0", "c1"))
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -64,7 +64,7 @@
 	if !r.Valid && !r.Entitled {
 		return false
 	}
-	p.incarnation, p.version, p.answeredIncarnation = r.Incarnation, r.Version, a.Fence.Term()
+	p.incarnation, p.version, p.answeredTerm = r.Incarnation, r.Version, a.Fence.Term()
 	if w := o.window(); o.latestWindow != nil && r.Window == o.latestWindow.Number && w != nil && w.Number < r.Window {
 		o.obey(o.latestWindow) // the holder obeys it already and refuses older ones
 	}
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -259,11 +259,11 @@
 // fetch takes. With evict it also considers preemption.
 func (o *Owner) pickGang(js *jobState, zone string, evict bool, now time.Time) (picks []placement.Choice, fetch time.Duration) {
 	p := o.placingFor(js, zone)
-	var makeRoom func() (placement.Choice, bool)
+	var preempt func() (placement.Choice, bool)
 	if evict {
-		makeRoom = func() (placement.Choice, bool) { return o.findPreemption(js, p, nil, now) }
+		preempt = func() (placement.Choice, bool) { return o.findPreemption(js, p, nil, now) }
 	}
-	return p.PickGang(js.job.Spec.Tasks, makeRoom)
+	return p.PickGang(js.job.Spec.Tasks, preempt)
 }
 
 func (o *Owner) completeGang(js *jobState, attempt uint64, now time.Time, rq requests) int {
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -56,7 +56,8 @@
 	inFlight map[string]bool // holders with a request in progress
 	peers    map[string]*peerState
 	// handleStray receives a sibling's report of a machine of this controller that reported to the sibling.
-	handleStray func(s board.Stray, told bool, heard time.Time)
+	// reportsStrays is false for a sibling whose version does not report them.
+	handleStray func(s board.Stray, reportsStrays bool, heard time.Time)
 	// failingJobs are active jobs with failed tasks. publishOpinion passes on the opinion of a job.
 	failingJobs    map[string]*jobState
 	judgedAt       time.Time
@@ -110,7 +111,7 @@
 type peerState struct {
 	incarnation, version uint64
 	fence                uint64 // requests with a lower sequence number are void
-	answeredIncarnation  uint64 // the incarnation of this controller that it answered last
+	answeredTerm         uint64 // this controller's session term in the last feed request that it answered
 	sessionValid         bool
 	heardAt, servedAt    time.Time
 	generation           int // of its process, from its session's record
@@ -159,10 +160,10 @@
 
 // NewOwner creates an owner; Run starts it.
 func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, addFinalJob func(*bookkeeping.Job), publishOpinion func(string, placement.Opinion), lenders map[string]LendCaller) *Owner {
-	known := board.New()
-	known.StartsLastFor = commandLifetime(c)
+	newBoard := board.New()
+	newBoard.StartsLastFor = commandLifetime(c)
 	return &Owner{quotas: newQuotas(c.Quotas, lenders), actor: newActor(ctx), cfg: c, session: session, store: store, holders: holders, addFinalJob: addFinalJob, publishOpinion: publishOpinion,
-		slots: ring.SlotCount(len(c.Siblings) + 1), board: known, machineTypes: map[string]protocol.MachineType{},
+		slots: ring.SlotCount(len(c.Siblings) + 1), board: newBoard, machineTypes: map[string]protocol.MachineType{},
 		jobs: map[string]*jobState{}, active: map[string]*jobState{}, unresolved: map[string]*jobState{},
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), registeredMachines: map[string]*bookkeeping.Machine{},
 		rosters:       map[int]bookkeeping.Roster{},
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -78,7 +78,7 @@
 		if b == nil {
 			return false
 		}
-		if p := o.peers[b.Holder]; p == nil || p.answeredIncarnation != o.session.Term() {
+		if p := o.peers[b.Holder]; p == nil || p.answeredTerm != o.session.Term() {
 			return false
 		}
 	}
