--- /dev/null
+++ b/internal/coordination/failures.go
@@ -0,0 +1,155 @@
+package coordination
+
+import (
+	"log/slog"
+	"time"
+
+	"daledyke/internal/board"
+	"daledyke/internal/placement"
+	"daledyke/internal/protocol"
+)
+
+// Judging whether the job or the machine is at fault when tasks fail (placement.JudgeJob, JudgeMachine).
+// Holders report which jobs failed on a machine since a task last succeeded there; every controller judges the
+// jobs by these reports, and each holder its machines.
+
+// ---- the holder's side: machines
+
+// noteFailure records that a job's task failed on a machine.
+func (h *Holder) noteFailure(w *worker, job string) {
+	w.errorsBy[job] = true
+	h.judgeMachine(w)
+}
+
+func (h *Holder) noteSuccess(w *worker) {
+	w.soundAt = time.Now()
+	clear(w.errorsBy)
+	h.judgeMachine(w)
+}
+
+// judgeMachine updates the doubt and the suspicion of a machine.
+func (h *Holder) judgeMachine(w *worker) {
+	var opinions []placement.Verdict
+	for job := range w.errorsBy {
+		j, opinion := h.jobs[job], h.opinions[job]
+		switch {
+		case j != nil && j.State == protocol.Done:
+			opinion = placement.NotAtFault
+		case j != nil && j.Final():
+			delete(w.errorsBy, job) // cancelled: its opinion will never be known
+			continue
+		}
+		opinions = append(opinions, opinion)
+	}
+	doubted := time.Duration(0)
+	if !w.doubted.IsZero() {
+		doubted = time.Since(w.doubted)
+	}
+	doubt, suspect := placement.JudgeMachine(opinions, doubted)
+	if doubt != !w.doubted.IsZero() {
+		w.doubted = time.Time{}
+		if doubt {
+			w.doubted = time.Now()
+		}
+		h.touch(w)
+	}
+	if suspect != w.suspect {
+		w.suspect = suspect
+		h.touch(w)
+		slog.Info("machine judged", "machine", w.id, "suspect", suspect, "failed", len(opinions))
+	}
+}
+
+// setOpinion stores the opinion of a job and judges the machines where it failed again.
+func (h *Holder) setOpinion(job string, opinion placement.Verdict) {
+	if j := h.jobs[job]; j == nil || j.Final() {
+		return
+	}
+	h.opinions[job] = opinion
+	for _, w := range h.byID {
+		if w.errorsBy[job] {
+			h.judgeMachine(w)
+		}
+	}
+}
+
+// ---- the owner's side: jobs
+
+// noteFailedJobs records which jobs failed on a machine.
+func (o *Owner) noteFailedJobs(v *board.MachineView) {
+	for _, id := range v.Failed {
+		js := o.active[id]
+		if js == nil || len(js.failedOn) >= 64 {
+			continue
+		}
+		if _, known := js.failedOn[v.ID]; !known {
+			js.failedOn[v.ID] = v.Sound
+			o.failingJobs[id] = js
+		}
+	}
+}
+
+// judgeJobs updates the opinions of the failing jobs.
+func (o *Owner) judgeJobs(now time.Time) {
+	for id, js := range o.failingJobs {
+		if o.active[id] != js {
+			delete(o.failingJobs, id)
+			continue
+		}
+		previous := js.opinion
+		if previous == placement.NotAtFault {
+			continue
+		}
+		js.opinion = placement.JudgeJob(js.failedOn, o.hasSucceeded(js, now))
+		if js.opinion == previous {
+			continue
+		}
+		if js.opinion == placement.AtFault {
+			slog.Info("job fails everywhere", "job", id, "machines", len(js.failedOn))
+			js.trialCount, js.nextTrialAt = 0, now.Add(placement.MinRetryBackoff)
+		} else if previous == placement.AtFault {
+			slog.Info("job fails no longer", "job", id)
+		}
+		js.stale = true
+		o.publishOpinion(id, js.opinion)
+	}
+}
+
+// hasSucceeded tells whether a task of the job was completed, or has run for long enough.
+func (o *Owner) hasSucceeded(js *jobState, now time.Time) bool {
+	if js.job.DoneCount() > 0 {
+		return true
+	}
+	for _, list := range o.board.Tasks[js.job.Spec.ID] {
+		for _, i := range list {
+			if i.Exited() && i.Cause == protocol.CauseDone || i.Running() && now.Sub(i.RunningSince) >= placement.ProvenAfter {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// trialAllowed tells whether tasks of a job may be started now: of a job at fault one at a time (all of a
+// gang), at growing intervals.
+func (o *Owner) trialAllowed(js *jobState, now time.Time) bool {
+	if js.opinion != placement.AtFault {
+		return true
+	}
+	anyInstance := len(js.pending) > 0
+	for _, list := range o.board.Tasks[js.job.Spec.ID] {
+		for _, i := range list {
+			anyInstance = anyInstance || !i.Exited()
+		}
+	}
+	if js.job.Spec.Shape == protocol.Gang && anyInstance {
+		return true // its trial is in progress
+	}
+	return !anyInstance && !now.Before(js.nextTrialAt)
+}
+
+// scheduleNextTrial sets when the job may be tried again.
+func (js *jobState) scheduleNextTrial(now time.Time) {
+	js.nextTrialAt = now.Add(placement.RetryBackoff(js.trialCount))
+	js.trialCount++
+}
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -44,7 +44,7 @@
 // wantPermits adds a want for permits for tasks of a job to the next request. If attempt is 0, each task gets
 // an attempt number of its own; otherwise all share it. together asks for all of them or none.
 func (o *Owner) wantPermits(js *jobState, indexes []int, attempt uint64, together bool, now time.Time) {
-	if len(indexes) == 0 || now.Before(js.wantAt) {
+	if len(indexes) == 0 || now.Before(js.nextPermitRequest) {
 		return
 	}
 	w := quota.Want{Job: js.job.Spec.ID, Together: together}
@@ -79,7 +79,7 @@
 		if b == nil {
 			return false
 		}
-		if p := o.peers[b.Holder]; p == nil || p.fed != o.session.Term() {
+		if p := o.peers[b.Holder]; p == nil || p.answeredTerm != o.session.Term() {
 			return false
 		}
 	}
@@ -92,7 +92,7 @@
 		for index, p := range js.permits {
 			if !js.mine(index) || p.term != o.session.Term() || now.After(p.expires) {
 				delete(js.permits, index)
-				js.wantAt = now.Add(permitBackoff)
+				js.nextPermitRequest = now.Add(permitBackoff)
 			}
 		}
 		if len(js.permits) == 0 || o.active[id] != js {
@@ -115,7 +115,7 @@
 				}
 			}
 		}
-		for id, js := range o.unclear {
+		for id, js := range o.unresolved {
 			if js.job.Spec.Team == team {
 				for index, ps := range js.pending {
 					request.Holding = append(request.Holding, quota.Attempt{Task: protocol.TaskName(id, index), Number: ps.attempt})
@@ -168,9 +168,9 @@
 		if js == nil || len(js.shares) == 0 || n >= len(reply.Binds) {
 			continue
 		}
-		js.binds = reply.Binds[n]
-		if js.binds != "" {
-			js.wantAt = now.Add(deniedBackoff)
+		js.limitingAccount = reply.Binds[n]
+		if js.limitingAccount != "" {
+			js.nextPermitRequest = now.Add(deniedBackoff)
 		}
 		for _, attempt := range want.Attempts {
 			_, index, ok := protocol.SplitTask(attempt.Task)
@@ -183,7 +183,7 @@
 			o.quotas.permitCount++
 			js.permits[index] = &permit{reply.Permit, attempt.Number, r.Term, now.Add(permitTTL)}
 			o.quotas.withPermits[want.Job] = js
-			js.blocked, js.stale, o.dirty = time.Time{}, true, true
+			js.blockedUntil, js.stale, o.dirty = time.Time{}, true, true
 		}
 	}
 	for _, task := range reply.Yield {
@@ -213,7 +213,7 @@
 		for _, i := range o.board.Tasks[job][index] {
 			if !i.Exited() && i.State != protocol.TaskFlushing {
 				slog.Info("task yields its quota", "task", task)
-				o.askStop(i, 2*s.SaveS, now, rq)
+				o.requestStop(i, 2*s.SaveS, now, rq)
 			}
 		}
 	}
@@ -234,7 +234,7 @@
 // owner's jobs it is what the authority said; for other owners' jobs it is derived from the board.
 func (o *Owner) limitingAccount(js *jobState, now time.Time) string {
 	if len(js.shares) > 0 || js.job.Final() || o.account(js) == "" {
-		return js.binds
+		return js.limitingAccount
 	}
 	need := js.job.Spec.Need()
 	if js.job.Spec.Shape == protocol.Gang {
--- a/internal/coordination/quota_view.go
+++ b/internal/coordination/quota_view.go
@@ -59,8 +59,8 @@
 	ledger := o.quotaUsage(time.Now())
 	waiting := map[string]int{}
 	for _, js := range o.active {
-		if js.binds != "" {
-			waiting[js.binds]++
+		if js.limitingAccount != "" {
+			waiting[js.limitingAccount]++
 		}
 	}
 	accounts := tree.Accounts()
