--- a/internal/coordination/acks.go
+++ b/internal/coordination/acks.go
@@ -62,26 +62,26 @@
 
 // noteAck takes in what a report of the same session shows about the answer to the previous one.
 func (h *Holder) noteAck(w *worker, shown protocol.Token) {
-	if w.answered.IsZero() {
+	if w.unackedAnswer.IsZero() {
 		return
 	}
-	if shown < w.answeredWith {
+	if shown < w.unackedAnswerToken {
 		// It renewed nothing (invariant 4).
 		w.ack.unacked++
-		if w.ack.requireAck(w.answeredWith, time.Now()) {
-			h.touch(w)
+		if w.ack.requireAck(w.unackedAnswerToken, time.Now()) {
+			h.markChanged(w)
 		}
 	} else {
-		w.lastAnswer = w.answered
+		w.lastAnswer = w.unackedAnswer
 	}
-	w.answered = time.Time{}
+	w.unackedAnswer = time.Time{}
 }
 
-// entitled is when somebody entitled to it last gave the machine an answer that may have
+// lastPossibleRenewal is when somebody lastPossibleRenewal to it last gave the machine an answer that may have
 // renewed its lease, as far as this holder is concerned.
-func (w *worker) entitled() time.Time {
+func (w *worker) lastPossibleRenewal() time.Time {
 	at := w.slot.adopted
-	for _, t := range []time.Time{w.lastAnswer, w.answered} {
+	for _, t := range []time.Time{w.lastAnswer, w.unackedAnswer} {
 		if t.After(at) {
 			at = t
 		}
@@ -89,27 +89,27 @@
 	return at
 }
 
-// probeGap is how often a machine is asked at most for no other reason than its messages.
-const probeGap = 5 * time.Second
+// probeInterval is how often a machine is asked at most for no other reason than its messages.
+const probeInterval = 5 * time.Second
 
 // probeWorker asks a machine directly: what it answers is newer than all that came before.
 func (h *Holder) probeWorker(w *worker) {
-	if time.Since(w.probedAt) >= probeGap {
+	if time.Since(w.probedAt) >= probeInterval {
 		w.probeDue = true
 		h.sendCommands(w)
 	}
 }
 
-// answerOlder answers a report that is older by its numbers than what was heard: a copy, or one that was
+// answerStaleReport answers a report that is older by its numbers than what was heard: a copy, or one that was
 // held up on its way, whose answer nobody hears, or its worker began anew and counts from the
 // beginning. Then it takes whatever was sent to it before until it is told a token of this holder's,
 // so that is what it gets at once. A token that nobody else is told shows in its next report
 // which of the two it was; until then the report is no news. What it runs that is not
 // expected there was started by a command from before, and goes. While a direct command with
 // starts is waited for, no new token is given out, since the next answer's would void it.
-func (h *Holder) answerOlder(w *worker, rep *protocol.Report) (status int, body any) {
-	commands, known := h.stopsCancelled(w, rep)
-	if !known || w.ack.ignoresAnswers() || w.busy && w.startsSent {
+func (h *Holder) answerStaleReport(w *worker, rep *protocol.Report) (status int, body any) {
+	commands, known := h.cancellationStops(w, rep)
+	if !known || w.ack.ignoresAnswers() || w.commandInFlight && w.commandHasStarts {
 		return http.StatusServiceUnavailable, nil
 	}
 	for _, t := range rep.Tasks {
@@ -133,9 +133,9 @@
 func (h *Holder) noteRestart(w *worker, rep *protocol.Report) {
 	slog.Info("machine began anew", "machine", w.id, "was", w.session, "is", rep.Session)
 	now := time.Now()
-	w.session, w.ticket, w.shown, w.lapsedIn, w.restartToken = rep.Session, rep.Ticket-1, 0, 0, 0
-	w.lastAnswer, w.answered = now, time.Time{}
+	w.session, w.ticket, w.highestToken, w.lapsedIn, w.restartToken = rep.Session, rep.Ticket-1, 0, 0, 0
+	w.lastAnswer, w.unackedAnswer = now, time.Time{}
 	w.seq++
 	w.ack.requireAck(protocol.NewToken(w.slot.term, w.seq), now)
-	h.touch(w)
+	h.markChanged(w)
 }
--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -22,7 +22,7 @@
 // term; what ran there is not known yet.
 func holderOf(ctx context.Context, c *config.Config, dial transport.Dialer, term uint64, machine string) (*Holder, *heldSlot) {
 	h := NewHolder(ctx, c, &Session{base: time.Now()}, nil, transport.NewWorkers(dial, c.ToWorkers()))
-	h.session.until.Store(int64(time.Hour))
+	h.session.validUntil.Store(int64(time.Hour))
 	s := &heldSlot{slot: h.slotOf(machine), term: term, adopted: time.Now(), ready: true, roster: bookkeeping.Roster{protocol.MachineNumber(machine): true},
 		awaited: map[string]bool{machine: true}}
 	h.slots[s.slot] = s
@@ -142,7 +142,7 @@
 		h.told()
 		w := h.byID["host-000004"]
 		time.Sleep(7 * time.Second)
-		w.busy, w.askedAfter, w.ack = true, w.ticket, ackState{}
+		w.commandInFlight, w.ticketAtSend, w.ack = true, w.ticket, ackState{}
 		o := protocol.Orders{Token: protocol.NewToken(7, 9), Session: 2, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3}}}
 		w.seq = 9
 		// Refused, since its session is another: the next one is sent to that.
@@ -152,7 +152,7 @@
 		}
 		w.seq++
 		o = protocol.Orders{Token: protocol.NewToken(7, w.seq), Session: 1, Commands: o.Commands}
-		w.busy, w.askedAfter = true, w.ticket
+		w.commandInFlight, w.ticketAtSend = true, w.ticket
 		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, token: o.Token}
 		running := report(1, 3, o.Token)
 		running.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 3, State: protocol.TaskRunning}}
@@ -176,15 +176,15 @@
 		h.Report(report(1, 5, protocol.NewToken(7, 1)))
 		h.told()
 		w := h.byID["host-000004"]
-		w.ack, w.busy = ackState{}, true
+		w.ack, w.commandInFlight = ackState{}, true
 		o := protocol.Orders{Token: protocol.NewToken(7, 9), Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3}}}
 		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, token: o.Token}
 		h.commandAnswered(w, o, nil, false, fmt.Errorf("%w: no connection", transport.ErrRefused))
-		if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskQueued || w.ack.awaitsAck() || w.busy {
+		if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskQueued || w.ack.awaitsAck() || w.commandInFlight {
 			t.Errorf("never sent: %+v of %+v", e, w)
 		}
 		h.Report(report(1, 6, protocol.NewToken(7, 1)))
-		w.busy, w.seq = true, 9
+		w.commandInFlight, w.seq = true, 9
 		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, token: o.Token}
 		h.commandAnswered(w, o, nil, false, fmt.Errorf("%w: no answer", transport.ErrUnknown))
 		if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskStarting || !w.ack.awaitsAck() {
@@ -213,13 +213,13 @@
 		if status, _ := h.Report(running); status != http.StatusOK || w.entries["wk-1/0"] == nil {
 			t.Fatal("it is not believed", status)
 		}
-		answered := w.entitled()
+		answered := w.lastPossibleRenewal()
 		time.Sleep(time.Second)
 		for _, old := range []*protocol.Report{report(3, 50, protocol.NewToken(5, 9)), report(1, 50, protocol.NewToken(5, 9))} {
 			// The answer, which only a worker that began anew once more would hear, tells it a token,
 			// and its lease counts as renewed; nothing is started by it, and nothing else follows.
 			_, body := h.Report(old)
-			if len(carried(body, protocol.VerbStart)) != 0 || w.entries["wk-1/0"] == nil || w.session != 1 || w.ticket != 4 || !h.startable(w) || w.entitled().Before(answered) {
+			if len(carried(body, protocol.VerbStart)) != 0 || w.entries["wk-1/0"] == nil || w.session != 1 || w.ticket != 4 || !h.startable(w) || w.lastPossibleRenewal().Before(answered) {
 				t.Errorf("session %d: %+v, %+v", old.Session, body, w)
 			}
 		}
@@ -256,7 +256,7 @@
 				ticket, asked = ticket+1, asked+1
 				h.commandAnswered(w, protocol.Orders{Session: 1}, report(1, ticket, protocol.NewToken(7, w.seq)), true, nil)
 			}
-			if since := time.Since(begin); w.unresponsive || h.view(w).Silent || since > h.unresponsiveAfter()+time.Second && h.startable(w) {
+			if since := time.Since(begin); w.unresponsive || h.machineView(w).Silent || since > h.unresponsiveAfter()+time.Second && h.startable(w) {
 				t.Fatalf("after %v: silent %v, usable %v", since, w.unresponsive, h.startable(w))
 			}
 		}
@@ -287,7 +287,7 @@
 			time.Sleep(time.Second)
 			h.told()
 			if w.probedAt.After(begin.Add(2 * c.ReportEvery())) {
-				w.busy, w.askedAfter = true, w.ticket
+				w.commandInFlight, w.ticketAtSend = true, w.ticket
 				h.commandAnswered(w, protocol.Orders{Session: 3}, report(1, ticket+1, 0), false, nil)
 			}
 		}
@@ -353,7 +353,7 @@
 		if w.seq == was || w.probeDue {
 			t.Errorf("it was not asked after 2 s: %+v", w)
 		}
-		w.busy = false
+		w.commandInFlight = false
 		h.commandAnswered(w, protocol.Orders{Token: protocol.NewToken(7, w.seq), Session: 1}, nil, false, errors.New("no answer"))
 		if w.probeDue {
 			t.Error("it is asked at once again")
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -16,17 +16,17 @@
 
 // usable tells whether tasks may be started on a machine that hears.
 func (h *Holder) usable(w *worker) bool {
-	return w.verified && w.slot.ready && !w.lapsed && !w.unresponsive && !w.reportsLost && !w.notice && w.doubted.IsZero() && !w.suspect && h.registry[w.id] != nil &&
-		w.slot.roster[protocol.MachineNumber(w.id)] && time.Now().After(w.drainTill)
+	return w.verified && w.slot.ready && !w.lapsed && !w.unresponsive && !w.reportsLost && !w.reclaimNotice && w.quarantinedSince.IsZero() && !w.suspect && h.registry[w.id] != nil &&
+		w.slot.roster[protocol.MachineNumber(w.id)] && time.Now().After(w.drainUntil)
 }
 
-// maxStale bounds how old the holder's picture of job states may be when it
+// maxRecordsAge bounds how old the holder's picture of job states may be when it
 // starts a task.
-const maxStale = 10 * time.Second
+const maxRecordsAge = 10 * time.Second
 
-// serve carries out an owner's request: the admission check (invariant 5).
-func (h *Holder) serve(a *AskArgs) (r AskReply, ok bool) {
-	h.obeyUpTo(a.Window)
+// handleAsk carries out an owner's request: the admission check (invariant 5).
+func (h *Holder) handleAsk(a *AskArgs) (r AskReply, ok bool) {
+	h.adoptWindowUpTo(a.Window)
 	if a.ID < h.fences[a.Caller] || h.window == nil || a.Window > h.window.Number || !h.session.Valid() {
 		return r, false
 	}
@@ -37,11 +37,11 @@
 		return r, false
 	}
 	for _, st := range a.Stops {
-		h.stop(a, st)
+		h.handleStop(a, st)
 	}
 	now := time.Now()
 	for _, st := range a.Starts {
-		why := h.start(a, st, now)
+		why := h.admitStart(a, st, now)
 		r.Refused = append(r.Refused, why)
 		if why != "" {
 			slog.Debug("start refused", "task", st.Task, "machine", st.Machine, "why", why)
@@ -56,7 +56,7 @@
 	}
 	for id := range touched {
 		if w := h.byID[id]; w != nil {
-			h.touch(w)
+			h.markChanged(w)
 			h.sendCommands(w)
 		}
 	}
@@ -64,19 +64,19 @@
 	return r, true
 }
 
-// start admits a task to a machine, or tells why not.
-func (h *Holder) start(a *AskArgs, st Start, now time.Time) (refusal string) {
+// admitStart admits a task to a machine, or tells why not.
+func (h *Holder) admitStart(a *AskArgs, st Start, now time.Time) (refusal string) {
 	w := h.byID[st.Machine]
 	jobID, index, ok := protocol.SplitTask(st.Task)
 	if !ok || w == nil || h.slots[w.slot.slot] != w.slot {
 		return "not held here"
 	}
 	j := h.jobs[jobID]
-	if refusal := h.refusesJob(a.Caller, j, index, now); refusal != "" {
+	if refusal := h.jobRefusal(a.Caller, j, index, now); refusal != "" {
 		return refusal
 	}
 	reserved := w.entries[st.Task]
-	if refusal := h.refusesMachine(w, j, st, reserved); refusal != "" {
+	if refusal := h.machineRefusal(w, j, st, reserved); refusal != "" {
 		return refusal
 	}
 	// What was reserved had its permit.
@@ -86,50 +86,50 @@
 	delete(w.entries, st.Task)
 	// What was reserved was granted; its room may still be in use by tasks that
 	// were told to make way.
-	if ahead := st.Reserve && st.Ahead; ahead && w.keptAhead(st.Task) {
+	if ahead := st.Reserve && st.Ahead; ahead && w.hasReservedAhead(st.Task) {
 		return "kept for another"
-	} else if reserved == nil && !ahead && !h.roomFor(w, st).Fits(j.Spec.Need()) {
+	} else if reserved == nil && !ahead && !h.roomAfterEvictions(w, st).Fits(j.Spec.Need()) {
 		return "no room"
 	}
 	h.evict(w, st.Evict)
-	e := &entry{task: st.Task, job: jobID, index: index, attempt: st.Attempt, state: board.TaskQueued, until: now.Add(queuedFor)}
+	e := &entry{task: st.Task, job: jobID, index: index, attempt: st.Attempt, state: board.TaskQueued, until: now.Add(queueTimeout)}
 	if st.Reserve {
-		e.state, e.until, e.ahead = board.TaskReserved, now.Add(reservedFor), st.Ahead
+		e.state, e.until, e.reservedAhead = board.TaskReserved, now.Add(reservationLifetime), st.Ahead
 	}
 	w.entries[st.Task] = e
 	return ""
 }
 
-// queuedFor is for how long a task that was admitted waits for room to come free.
-const queuedFor = 20 * time.Second
+// queueTimeout is for how long a task that was admitted waits for room to come free.
+const queueTimeout = 20 * time.Second
 
-// refusesJob tells why a task of a job is not to be started for a caller, wherever.
-func (h *Holder) refusesJob(caller string, j *bookkeeping.Job, index int, now time.Time) string {
+// jobRefusal tells why a task of a job is not to be started for a caller, wherever.
+func (h *Holder) jobRefusal(caller string, j *bookkeeping.Job, index int, now time.Time) string {
 	switch {
-	case j == nil || h.over(j.Spec.ID) || index >= j.Spec.Tasks || j.TaskDone(index):
+	case j == nil || h.isJobOver(j.Spec.ID) || index >= j.Spec.Tasks || j.TaskDone(index):
 		return "not to be run"
 	case j.Waits > 0:
 		return "waits for other jobs" // what is not known to be done is not
 	case h.window.OwnerOf(j, index) != caller:
 		return "not the owner"
-	case now.Sub(h.syncedAt) > maxStale:
+	case now.Sub(h.syncedAt) > maxRecordsAge:
 		return "records too old"
 	}
 	return ""
 }
 
-// refusesMachine tells why a task is not to be started on a machine, where its room may be reserved.
-func (h *Holder) refusesMachine(w *worker, j *bookkeeping.Job, st Start, reserved *entry) string {
+// machineRefusal tells why a task is not to be started on a machine, where its room may be reserved.
+func (h *Holder) machineRefusal(w *worker, j *bookkeeping.Job, st Start, reserved *entry) string {
 	switch {
 	case st.Term != 0 && st.Term != w.slot.term:
 		return "asked for under another term"
 	case !h.startable(w):
 		return "machine not usable"
-	case !j.Spec.Allows(w.rig, w.zone, w.spot):
+	case !j.Spec.Allows(w.machineType, w.zone, w.spot):
 		return "machine not allowed"
 	case reserved != nil && !(reserved.state == board.TaskReserved && reserved.attempt == st.Attempt):
 		return "already there"
-	case !st.Reserve && h.isElsewhere(w, st.Task):
+	case !st.Reserve && h.isOnOtherWorker(w, st.Task):
 		// Room may be reserved for a task that runs elsewhere and is about to be moved: nothing
 		// starts by that. Before it does, the task must be gone from there.
 		return "elsewhere here"
@@ -137,8 +137,8 @@
 	return ""
 }
 
-// isElsewhere tells whether a task may be on another machine of this holder's.
-func (h *Holder) isElsewhere(w *worker, task string) bool {
+// isOnOtherWorker tells whether a task may be on another machine of this holder's.
+func (h *Holder) isOnOtherWorker(w *worker, task string) bool {
 	for _, other := range h.byID {
 		if e := other.entries[task]; other != w && e != nil && !e.exited() && e.state != board.TaskReserved {
 			return true
@@ -147,9 +147,9 @@
 	return false
 }
 
-// roomFor is the room on a machine once the tasks that are to make way for a start are gone.
-func (h *Holder) roomFor(w *worker, st Start) protocol.Room {
-	room := h.free(w, true)
+// roomAfterEvictions is the room on a machine once the tasks that are to make way for a start are gone.
+func (h *Holder) roomAfterEvictions(w *worker, st Start) protocol.Room {
+	room := h.freeRoom(w, true)
 	for _, name := range st.Evict {
 		if v := w.entries[name]; v != nil && !v.exited() && !v.unconfirmed() {
 			room = room.Add(h.need(v))
@@ -162,27 +162,27 @@
 func (h *Holder) evict(w *worker, tasks []string) {
 	for _, name := range tasks {
 		v := w.entries[name]
-		if v == nil || v.stop {
+		if v == nil || v.stopRequested {
 			continue
 		}
-		v.stop = true
+		v.stopRequested = true
 		if vj := h.jobs[v.job]; vj != nil {
 			v.grace = vj.Spec.SaveS * 2
 		}
 	}
 }
 
-// keptAhead tells whether what comes free on a machine is kept for another task already.
-func (w *worker) keptAhead(task string) bool {
+// hasReservedAhead tells whether what comes free on a machine is kept for another task already.
+func (w *worker) hasReservedAhead(task string) bool {
 	for name, e := range w.entries {
-		if name != task && e.ahead && e.state == board.TaskReserved {
+		if name != task && e.reservedAhead && e.state == board.TaskReserved {
 			return true
 		}
 	}
 	return false
 }
 
-func (h *Holder) stop(a *AskArgs, st Stop) {
+func (h *Holder) handleStop(a *AskArgs, st Stop) {
 	w := h.byID[st.Machine]
 	if w == nil {
 		return
@@ -196,13 +196,13 @@
 	}
 	switch {
 	case st.Forget:
-		e.reap, e.keep = true, st.Keep && e.exited()
-		if !e.keep && e.exited() {
+		e.forgetRequested, e.keepRoom = true, st.Keep && e.exited()
+		if !e.keepRoom && e.exited() {
 			e.until = time.Time{}
 		}
 	case e.state == board.TaskReserved || e.state == board.TaskQueued:
 		delete(w.entries, st.Task)
 	default:
-		e.stop, e.grace = true, st.GraceS
+		e.stopRequested, e.grace = true, st.GraceS
 	}
 }
--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -39,7 +39,7 @@
 // of this holder's renews or starts their tasks any more.
 func (r HolderRPC) Announce(a AnnounceArgs, _ *Nothing) error {
 	if !r.h.ask(r.h.ctx, func() { r.h.learnCancelled(a.Cancelled, time.Now()) }) {
-		return errNotNow
+		return errRequestVoid
 	}
 	return nil
 }
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -136,7 +136,7 @@
 			}
 		}()
 		k := &Controller{holder: h}
-		asked := &standing{job: pendingJob("wk-1")}
+		asked := &jobStanding{job: pendingJob("wk-1")}
 		if st, err := k.confirm(ctx, asked); err != nil || st.Status != protocol.Pending {
 			t.Fatalf("%+v, %v", st, err)
 		}
--- a/internal/coordination/blame.go
+++ b/internal/coordination/blame.go
@@ -18,45 +18,45 @@
 // failed notes that a job's task failed on a machine, succeeded that one
 // of a job's tasks ran or was completed.
 func (h *Holder) failed(w *worker, job string) {
-	w.errorsBy[job] = true
+	w.failedJobs[job] = true
 	h.judge(w)
 }
 
 func (h *Holder) succeeded(w *worker) {
-	w.soundAt = time.Now()
-	clear(w.errorsBy)
+	w.lastSuccess = time.Now()
+	clear(w.failedJobs)
 	h.judge(w)
 }
 
 // judge brings up to date what is thought of a machine.
 func (h *Holder) judge(w *worker) {
 	var by []placement.Opinion
-	for job := range w.errorsBy {
+	for job := range w.failedJobs {
 		j, o := h.jobs[job], h.opinions[job]
 		switch {
 		case j != nil && j.State == protocol.Done:
 			o = placement.Innocent
 		case j != nil && j.Final():
-			delete(w.errorsBy, job) // cancelled: it will never be known
+			delete(w.failedJobs, job) // cancelled: it will never be known
 			continue
 		}
 		by = append(by, o)
 	}
 	doubted := time.Duration(0)
-	if !w.doubted.IsZero() {
-		doubted = time.Since(w.doubted)
+	if !w.quarantinedSince.IsZero() {
+		doubted = time.Since(w.quarantinedSince)
 	}
 	doubt, suspect := placement.JudgeMachine(by, doubted)
-	if doubt != !w.doubted.IsZero() {
-		w.doubted = time.Time{}
+	if doubt != !w.quarantinedSince.IsZero() {
+		w.quarantinedSince = time.Time{}
 		if doubt {
-			w.doubted = time.Now()
+			w.quarantinedSince = time.Now()
 		}
-		h.touch(w)
+		h.markChanged(w)
 	}
 	if suspect != w.suspect {
 		w.suspect = suspect
-		h.touch(w)
+		h.markChanged(w)
 		slog.Info("machine judged", "machine", w.id, "suspect", suspect, "failed", len(by))
 	}
 }
@@ -68,7 +68,7 @@
 	}
 	h.opinions[job] = o
 	for _, w := range h.byID {
-		if w.errorsBy[job] {
+		if w.failedJobs[job] {
 			h.judge(w)
 		}
 	}
--- a/internal/coordination/cancelled_test.go
+++ b/internal/coordination/cancelled_test.go
@@ -134,7 +134,7 @@
 	}
 	m.token, m.renewed = answer.Token, now
 	for _, c := range answer.Commands {
-		if id, _, _ := protocol.SplitTask(c.Task); c.Verb == protocol.VerbStart && h.over(id) {
+		if id, _, _ := protocol.SplitTask(c.Task); c.Verb == protocol.VerbStart && h.isJobOver(id) {
 			m.wronged = c.Task
 		}
 	}
@@ -204,7 +204,7 @@
 	w.h.syncedAt = time.Time{}
 	w.h.watermark = membership.NewWatermark(nil)
 	w.h.types["small"] = protocol.MachineType{Name: "small", Cores: 8, RAM: 64}
-	w.h.obey(&bookkeeping.Window{Number: 1, Owners: []string{w.c.Name}, Assignment: []string{w.c.Name}})
+	w.h.adoptWindow(&bookkeeping.Window{Number: 1, Owners: []string{w.c.Name}, Assignment: []string{w.c.Name}})
 	for _, id := range w.jobs {
 		w.h.jobChanged(pendingJob(id))
 	}
@@ -255,7 +255,7 @@
 func (w *cancelWorld) ask(job string, attempt uint64) bool {
 	w.asks++
 	a := &AskArgs{Caller: w.c.Name, ID: w.asks, Window: 1, Starts: []Start{{Task: protocol.TaskName(job, 0), Attempt: attempt, Machine: troubledMachine}}}
-	reply, ok := w.h.serve(a)
+	reply, ok := w.h.handleAsk(a)
 	return ok && reply.Refused[0] == ""
 }
 
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -21,10 +21,10 @@
 	return protocol.Room{}
 }
 
-// free is the room left beside all that is or may be on the machine; queued
+// freeRoom is the room left beside all that is or may be on the machine; queued
 // tells whether tasks that wait for room count too.
-func (h *Holder) free(w *worker, queued bool) protocol.Room {
-	t, ok := h.types[w.rig]
+func (h *Holder) freeRoom(w *worker, queued bool) protocol.Room {
+	t, ok := h.types[w.machineType]
 	if !ok {
 		return protocol.Room{}
 	}
@@ -54,22 +54,22 @@
 	var out []protocol.Command
 	for _, e := range w.entries {
 		j := h.jobs[e.job]
-		over := h.over(e.job)
+		over := h.isJobOver(e.job)
 		switch {
 		case e.exited():
 			// A result is kept on the machine until it is recorded.
-			if acts && (e.reap || over || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.sent) > 2*time.Second {
-				e.sent = now
+			if acts && (e.forgetRequested || over || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.lastSentAt) > 2*time.Second {
+				e.lastSentAt = now
 				out = append(out, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
 			}
 		case e.unconfirmed():
-		case over || acts && e.stop:
+		case over || acts && e.stopRequested:
 			grace := e.grace
 			if over {
 				grace = 0
 			}
-			if now.Sub(e.sent) > 3*time.Second && (e.state != protocol.TaskFlushing || grace == 0 || over) {
-				e.sent = now
+			if now.Sub(e.lastSentAt) > 3*time.Second && (e.state != protocol.TaskFlushing || grace == 0 || over) {
+				e.lastSentAt = now
 				out = append(out, stopCommand(e.task, e.attempt, grace))
 			}
 		}
@@ -77,12 +77,12 @@
 	if !acts {
 		return out
 	}
-	room := h.free(w, false)
+	room := h.freeRoom(w, false)
 	for _, e := range w.entries {
 		if e.state != board.TaskQueued {
 			continue
 		}
-		if h.jobs[e.job] == nil || h.over(e.job) || !h.startable(w) {
+		if h.jobs[e.job] == nil || h.isJobOver(e.job) || !h.startable(w) {
 			delete(w.entries, e.task)
 			continue
 		}
@@ -99,20 +99,20 @@
 // something changes.
 func (h *Holder) isSettled(w *worker) bool {
 	for _, e := range w.entries {
-		if e.stop || e.unconfirmed() || e.exited() || h.over(e.job) {
+		if e.stopRequested || e.unconfirmed() || e.exited() || h.isJobOver(e.job) {
 			return false
 		}
 	}
 	return true
 }
 
-// stopsCancelled are the commands that an answer to a report carries along, so that it renews
+// cancellationStops are the commands that an answer to a report carries along, so that it renews
 // nothing that is known to be cancelled (invariant 9): a worker that takes the answer in
 // carries them out with it, and one that does not lives by what it heard before. known is
 // false if a task runs there of which it is not known whether it is cancelled. The commands
 // may be repeated and come late, as any that stop; starts that are under way of such tasks
 // are fenced by a higher token.
-func (h *Holder) stopsCancelled(w *worker, rep *protocol.Report) (stops []protocol.Command, known bool) {
+func (h *Holder) cancellationStops(w *worker, rep *protocol.Report) (stops []protocol.Command, known bool) {
 	stops = []protocol.Command{}
 	stop := func(task string, attempt uint64) {
 		if !slices.ContainsFunc(stops, func(c protocol.Command) bool { return c.Task == task && c.Attempt == attempt }) {
@@ -123,7 +123,7 @@
 		id, _, _ := protocol.SplitTask(t.Task)
 		switch {
 		case t.State == protocol.TaskExited:
-		case h.over(id):
+		case h.isJobOver(id):
 			stop(t.Task, t.Attempt)
 		case h.jobs[id] == nil:
 			return nil, false
@@ -131,7 +131,7 @@
 	}
 	fence := false
 	for _, e := range w.entries {
-		if !h.over(e.job) || e.exited() || e.state == board.TaskReserved || e.state == board.TaskQueued {
+		if !h.isJobOver(e.job) || e.exited() || e.state == board.TaskReserved || e.state == board.TaskQueued {
 			continue
 		}
 		if e.unconfirmed() {
@@ -150,7 +150,7 @@
 // proves that it was carried out or never will be.
 func (h *Holder) sendCommands(w *worker) {
 	now := time.Now()
-	if w.busy || w.lapsed || w.session == 0 || now.Before(w.holdOff) || !h.entitled() || h.slots[w.slot.slot] != w.slot {
+	if w.commandInFlight || w.lapsed || w.session == 0 || now.Before(w.backoffUntil) || !h.entitled() || h.slots[w.slot.slot] != w.slot {
 		return
 	}
 	acts := h.session.Valid() && h.mayAnswer()
@@ -166,8 +166,8 @@
 	w.seq++
 	orders := protocol.Orders{Token: protocol.NewToken(w.slot.term, w.seq), Session: w.session, Commands: cmds}
 	w.noteStarts(orders, now.Add(commandLifetime(h.cfg)))
-	w.busy, w.askedAfter, w.probeDue, w.probedAt = true, w.ticket, false, now
-	h.touch(w)
+	w.commandInFlight, w.ticketAtSend, w.probeDue, w.probedAt = true, w.ticket, false, now
+	h.markChanged(w)
 	addr := w.addr
 	go func() {
 		rep, executed, err := h.workers.Do(h.ctx, addr, orders)
@@ -183,12 +183,12 @@
 // noteStarts takes in that a direct command is sent, which is taken to be under way until a time unless
 // it is answered.
 func (w *worker) noteStarts(o protocol.Orders, until time.Time) {
-	w.startsSent = false
+	w.commandHasStarts = false
 	for _, c := range o.Commands {
 		if c.Verb == protocol.VerbStart {
 			w.entries[c.Task].token = o.Token
 			w.openStarts[c.Task] = openStart{c.Attempt, until}
-			w.startsSent = true
+			w.commandHasStarts = true
 		}
 	}
 }
@@ -202,8 +202,8 @@
 	}
 }
 
-// startingBy are the tasks that an order starts, as far as nothing else is known of them.
-func (w *worker) startingBy(o protocol.Orders) (starting []*entry) {
+// startingEntries are the tasks that an order starts, as far as nothing else is known of them.
+func (w *worker) startingEntries(o protocol.Orders) (starting []*entry) {
 	for _, c := range o.Commands {
 		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.token == o.Token {
 			starting = append(starting, e)
@@ -236,13 +236,13 @@
 		case !e.unanswered:
 		case e.state == board.TaskStarting:
 			starts = append(starts, e)
-		case e.exited() && e.reap:
+		case e.exited() && e.forgetRequested:
 			commands = append(commands, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
-		case !e.exited() && e.stop && !h.over(e.job) && (e.state != protocol.TaskFlushing || e.grace == 0):
+		case !e.exited() && e.stopRequested && !h.isJobOver(e.job) && (e.state != protocol.TaskFlushing || e.grace == 0):
 			commands = append(commands, stopCommand(e.task, e.attempt, e.grace))
 		}
 	}
-	if len(starts) == 0 || w.busy && w.startsSent {
+	if len(starts) == 0 || w.commandInFlight && w.commandHasStarts {
 		return commands
 	}
 	w.seq++
@@ -258,14 +258,14 @@
 // mayRepeatStart tells whether a task whose start was not answered is still to be started: by
 // what is known now, and for as long as it might have waited for room.
 func (h *Holder) mayRepeatStart(w *worker, e *entry, now time.Time) bool {
-	return h.usable(w) && !e.stop && h.jobs[e.job] != nil && !h.over(e.job) && now.Sub(h.syncedAt) <= maxStale && now.Before(e.until)
+	return h.usable(w) && !e.stopRequested && h.jobs[e.job] != nil && !h.isJobOver(e.job) && now.Sub(h.syncedAt) <= maxRecordsAge && now.Before(e.until)
 }
 
-// silentGap is how long a machine that is silent is left alone after a command in vain.
-const silentGap = 8 * time.Second
+// unresponsiveBackoff is how long a machine that is silent is left alone after a command in vain.
+const unresponsiveBackoff = 8 * time.Second
 
 func (h *Holder) commandAnswered(w *worker, o protocol.Orders, rep *protocol.Report, executed bool, err error) {
-	w.busy = false
+	w.commandInFlight = false
 	if h.byID[w.id] != w || h.slots[w.slot.slot] != w.slot {
 		return
 	}
@@ -274,10 +274,10 @@
 	}
 	if errors.Is(err, transport.ErrRefused) {
 		// Nothing was sent, which says nothing of the machine: what was to be started waits on.
-		for _, e := range w.startingBy(o) {
+		for _, e := range w.startingEntries(o) {
 			e.state, e.token = board.TaskQueued, 0
 		}
-		w.holdOff = time.Now().Add(time.Second)
+		w.backoffUntil = time.Now().Add(time.Second)
 		return
 	}
 	if err != nil {
@@ -287,30 +287,30 @@
 		w.noteUnanswered(o)
 		w.seq++
 		w.probeDue = len(o.Commands) > 0
-		w.holdOff = time.Now().Add(time.Second)
+		w.backoffUntil = time.Now().Add(time.Second)
 		if w.unresponsive { // many may be, and each attempt holds a connection until it is given up
-			w.holdOff = time.Now().Add(silentGap)
+			w.backoffUntil = time.Now().Add(unresponsiveBackoff)
 		}
 		if w.ack.requireAck(protocol.NewToken(w.slot.term, w.seq), time.Now()) {
-			h.touch(w)
+			h.markChanged(w)
 		}
 		slog.Debug("direct command unanswered", "machine", w.id, "err", err)
 		return
 	}
 	if !executed {
 		// Refused for good: the starts in it will never happen.
-		for _, e := range w.startingBy(o) {
+		for _, e := range w.startingEntries(o) {
 			delete(w.entries, e.task)
 		}
-		w.holdOff = time.Now().Add(500 * time.Millisecond)
+		w.backoffUntil = time.Now().Add(500 * time.Millisecond)
 	}
 	if rep.Machine == w.id && rep.Token.Term() <= w.slot.term {
 		w.ack = ackState{} // it answered
-		if !w.isNewer(rep) && w.session == o.Session && w.ticket == w.askedAfter {
+		if !w.isNewer(rep) && w.session == o.Session && w.ticket == w.ticketAtSend {
 			h.noteRestart(w, rep)
 		}
-		h.hear(w, rep)
+		h.applyReport(w, rep)
 	}
-	h.touch(w)
+	h.markChanged(w)
 	h.sendCommands(w)
 }
--- a/internal/coordination/commands_test.go
+++ b/internal/coordination/commands_test.go
@@ -28,7 +28,7 @@
 	w.seq++
 	o := protocol.Orders{Token: protocol.NewToken(w.slot.term, w.seq), Session: w.session, Commands: commands}
 	w.noteStarts(o, time.Now().Add(commandLifetime(h.cfg)))
-	w.busy = true
+	w.commandInFlight = true
 	h.commandAnswered(w, o, nil, false, fmt.Errorf("%w: no answer", transport.ErrUnknown))
 	return o
 }
@@ -46,7 +46,7 @@
 		}
 		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, until: time.Now().Add(20 * time.Second)}
 		sent := h.unanswered(w, protocol.Command{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3})
-		w.holdOff = time.Now().Add(time.Hour) // nothing more goes directly
+		w.backoffUntil = time.Now().Add(time.Hour) // nothing more goes directly
 		play(t, h, w, sent)
 	})
 }
@@ -83,11 +83,11 @@
 func TestWhatIsNotToBeStartedIsNotRepeated(t *testing.T) {
 	for name, happens := range map[string]func(h *Holder, w *worker){
 		"its job is cancelled":      func(h *Holder, _ *worker) { h.cancelled.Learn("wk-1", time.Now()) },
-		"its owner withdrew it":     func(_ *Holder, w *worker) { w.entries["wk-1/0"].stop = true },
+		"its owner withdrew it":     func(_ *Holder, w *worker) { w.entries["wk-1/0"].stopRequested = true },
 		"it waited for too long":    func(_ *Holder, w *worker) { w.entries["wk-1/0"].until = time.Now() },
-		"records are old":           func(h *Holder, _ *worker) { h.syncedAt = time.Now().Add(-maxStale - time.Second) },
+		"records are old":           func(h *Holder, _ *worker) { h.syncedAt = time.Now().Add(-maxRecordsAge - time.Second) },
 		"its job is not known":      func(h *Holder, _ *worker) { delete(h.jobs, "wk-1") },
-		"the machine is left alone": func(_ *Holder, w *worker) { w.drainTill = time.Now().Add(time.Minute) },
+		"the machine is left alone": func(_ *Holder, w *worker) { w.drainUntil = time.Now().Add(time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
@@ -105,7 +105,7 @@
 // While another direct command with starts is under way no answer voids it.
 func TestAnAnswerVoidsNoStartsUnderWay(t *testing.T) {
 	withStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
-		w.busy, w.startsSent = true, true
+		w.commandInFlight, w.commandHasStarts = true, true
 		under := protocol.NewToken(w.slot.term, w.seq)
 		if _, body := h.Report(report(1, 6, sent.Token-1)); body.(protocol.ReportAnswer).Token != under {
 			t.Errorf("the answer voids %d: %+v", under, body)
@@ -123,11 +123,11 @@
 		rep.Tasks[2].State = protocol.TaskFlushing
 		h.Report(rep)
 		w := h.byID["host-000004"]
-		w.entries["wk-1/0"].stop, w.entries["wk-1/1"].reap = true, true
-		w.entries["wk-1/2"].stop, w.entries["wk-1/2"].grace = true, 10
+		w.entries["wk-1/0"].stopRequested, w.entries["wk-1/1"].forgetRequested = true, true
+		w.entries["wk-1/2"].stopRequested, w.entries["wk-1/2"].grace = true, 10
 		h.unanswered(w, protocol.Command{Verb: protocol.VerbStop, Task: "wk-1/0", Attempt: 3}, protocol.Command{Verb: protocol.VerbForget, Task: "wk-1/1", Attempt: 3},
 			protocol.Command{Verb: protocol.VerbStop, Task: "wk-1/2", Attempt: 3})
-		w.holdOff = time.Now().Add(time.Hour)
+		w.backoffUntil = time.Now().Add(time.Hour)
 		rep.Ticket++
 		_, body := h.Report(rep)
 		if stops, forgets := carried(body, protocol.VerbStop), carried(body, protocol.VerbForget); len(stops) != 1 || stops[0] != "wk-1/0" || len(forgets) != 1 || forgets[0] != "wk-1/1" {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -70,9 +70,9 @@
 	share := float64(len(c.Siblings) + 1)
 	state := transport.NewState(dial, c.Services.State, d.State.RPS/share, d.State.WriteRPS/share)
 	k := &Controller{cfg: c, started: time.Now(), state: state, store: bookkeeping.NewStore(state, d.State.TxnOps, c.ValueBytes())}
-	k.session = NewSession(c, k.store, func() { k.holder.ask(ctx, k.holder.reset) })
+	k.session = NewSession(c, k.store, func() { k.holder.ask(ctx, k.holder.dropAllSlots) })
 	k.holder = NewHolder(ctx, c, k.session, k.store, transport.NewWorkers(dial, c.ToWorkers()))
-	k.holder.served = k.state.Counts.Served
+	k.holder.stateLastServed = k.state.Counts.Served
 	holders := map[string]HolderCaller{c.Name: local{HolderRPC{k.holder}}}
 	lenders := map[string]LendCaller{}
 	for _, s := range c.Siblings {
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -27,27 +27,27 @@
 // that it has not seen yet. What it asks by the old window must be refused:
 // its picture leaves out what others started in between.
 func TestOwnersMustKnowTheWindowThatMadeThemOwners(t *testing.T) {
-	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), fences: map[string]protocol.Token{},
+	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), fences: map[string]protocol.Token{},
 		session: &Session{base: time.Now()}}
-	h.session.until.Store(int64(time.Hour))
+	h.session.validUntil.Store(int64(time.Hour))
 	window := func(n uint64, owners ...string) *bookkeeping.Window {
 		return &bookkeeping.Window{Number: n, Owners: owners}
 	}
 	asks := func(by uint64) bool {
-		_, ok := h.serve(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: by})
+		_, ok := h.handleAsk(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: by})
 		return ok
 	}
-	h.obey(window(1, "c0", "c1"))
-	h.obey(window(2, "c0", "c1"))
+	h.adoptWindow(window(1, "c0", "c1"))
+	h.adoptWindow(window(2, "c0", "c1"))
 	if !asks(1) || !asks(2) || asks(3) {
 		t.Error("equal windows in a row hand over without a pause, later ones are not obeyed yet")
 	}
-	h.obey(window(3, "c1"))
-	h.obey(window(4, "c0", "c1"))
+	h.adoptWindow(window(3, "c1"))
+	h.adoptWindow(window(4, "c0", "c1"))
 	if asks(2) || !asks(4) {
 		t.Error("an owner that goes by a window from before it lost its range was served")
 	}
-	h.obey(window(6, "c0", "c1"))
+	h.adoptWindow(window(6, "c0", "c1"))
 	if asks(4) {
 		t.Error("a window was skipped: its owners are not known")
 	}
@@ -203,21 +203,21 @@
 // are another's, and a window that divides jobs anew voids what was asked under the one
 // before, though all ranges stay as they are.
 func TestAdmissionKnowsBlocks(t *testing.T) {
-	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
+	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
 		jobs: map[string]*bookkeeping.Job{}, byID: map[string]*worker{}, slots: map[int]*heldSlot{}}
 	s := &protocol.JobSpec{ID: "wk-1", Shape: protocol.Array, Tasks: 3 * bookkeeping.BlockTasks}
 	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, Seat: bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s)}}
 	slot := &heldSlot{}
 	h.jobs[s.ID], h.slots[0], h.byID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
 	ask := func(caller string, index int) string {
-		return h.start(&AskArgs{Caller: caller}, Start{Task: protocol.TaskName(s.ID, index), Machine: "host-1"}, time.Now())
+		return h.admitStart(&AskArgs{Caller: caller}, Start{Task: protocol.TaskName(s.ID, index), Machine: "host-1"}, time.Now())
 	}
-	h.obey(&bookkeeping.Window{Number: 5, Owners: controllers})
+	h.adoptWindow(&bookkeeping.Window{Number: 5, Owners: controllers})
 	own := h.window.Owner(j.Token)
 	if why := ask(own, s.Tasks-1); why == "not the owner" {
 		t.Error("undivided, the job's owner places all of it")
 	}
-	h.obey(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
+	h.adoptWindow(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
 	if h.ownersSince != 6 {
 		t.Errorf("owners since %d", h.ownersSince)
 	}
@@ -237,7 +237,7 @@
 // asked for there meanwhile, the wish comes too late; and it is over when the
 // leader no longer has it, also one whose session is older than the last one's.
 func TestWishesToDrain(t *testing.T) {
-	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, byID: map[string]*worker{}}
+	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, byID: map[string]*worker{}}
 	for _, id := range []string{"host-1", "host-2", "host-3"} {
 		h.byID[id] = &worker{id: id, slot: &heldSlot{}, entries: map[string]*entry{}}
 	}
@@ -246,7 +246,7 @@
 	h.byID["host-3"].suspect = true
 	free := func() (ids []string) {
 		for id, w := range h.byID {
-			if time.Now().Before(w.drainTill) {
+			if time.Now().Before(w.drainUntil) {
 				ids = append(ids, id)
 			}
 		}
@@ -257,7 +257,7 @@
 	if got := free(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.byID["host-2"].entries) != 1 {
 		t.Errorf("kept free: %v", got)
 	}
-	if v := h.view(h.byID["host-1"]); v.Drained != 100 {
+	if v := h.machineView(h.byID["host-1"]); v.Drained != 100 {
 		t.Errorf("empty since wish %d", v.Drained)
 	}
 	h.drain(&DrainArgs{Wish: 90, Machines: nil})
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -21,9 +21,9 @@
 		if !h.ask(h.ctx, func() {
 			if first {
 				h.fences[a.Caller] = max(h.fences[a.Caller], a.Fence)
-				h.obeyUpTo(a.Window)
+				h.adoptWindowUpTo(a.Window)
 			}
-			wait = h.changed
+			wait = h.versionChanged
 			news = h.entitled() && (h.version != a.Since || h.session.Term() != a.Incarnation)
 		}) {
 			return h.ctx.Err()
@@ -33,7 +33,7 @@
 			case <-wait:
 				// Let what belongs together come together, the more the more
 				// controllers ask.
-				pause(h.ctx, time.Duration(len(h.cfg.Siblings)+1)*feedPause)
+				pause(h.ctx, time.Duration(len(h.cfg.Siblings)+1)*feedBatchDelay)
 				continue
 			case <-deadline.C:
 			case <-h.ctx.Done():
@@ -41,7 +41,7 @@
 			}
 		}
 		// Not into r itself: a controller that ends may do it after r is on its way.
-		reply, ok := askFor(h.ctx, &h.actor, func() board.News { return h.summary(a) })
+		reply, ok := askFor(h.ctx, &h.actor, func() board.News { return h.newsSince(a) })
 		if !ok {
 			return h.ctx.Err()
 		}
@@ -50,15 +50,15 @@
 	}
 }
 
-// feedPause is how long a controller's news wait for more, for each controller
+// feedBatchDelay is how long a controller's news wait for more, for each controller
 // that they go to.
-const feedPause = 40 * time.Millisecond
+const feedBatchDelay = 40 * time.Millisecond
 
-// summary is the reply to a feed request as things stand.
-func (h *Holder) summary(a FeedArgs) board.News {
+// newsSince is the reply to a feed request as things stand.
+func (h *Holder) newsSince(a FeedArgs) board.News {
 	r := board.News{Incarnation: h.session.Term(), Version: h.version, Valid: h.session.Valid(), Entitled: h.entitled()}
-	if h.served != nil {
-		r.ServedMs = max(1, time.Since(h.served()).Milliseconds())
+	if h.stateLastServed != nil {
+		r.ServedMs = max(1, time.Since(h.stateLastServed()).Milliseconds())
 	}
 	r.TellsStrays = true
 	if s := h.misrouted[a.Caller]; time.Since(s.at) < h.misroutedRecently() {
@@ -74,7 +74,7 @@
 		return r
 	}
 	since := a.Since
-	if a.Incarnation != r.Incarnation || len(h.gone) == maxGone && since < h.gone[0].version {
+	if a.Incarnation != r.Incarnation || len(h.removed) == maxRemoved && since < h.removed[0].version {
 		r.Full, since = true, 0
 	}
 	for _, s := range h.slots {
@@ -88,10 +88,10 @@
 	}
 	for _, w := range h.byID {
 		if w.version > since && (w.verified || w.lapsed) {
-			r.Machines = append(r.Machines, h.view(w))
+			r.Machines = append(r.Machines, h.machineView(w))
 		}
 	}
-	for _, g := range h.gone {
+	for _, g := range h.removed {
 		if g.version > since {
 			r.Gone = append(r.Gone, g.id)
 		}
@@ -99,25 +99,25 @@
 	return r
 }
 
-func (h *Holder) view(w *worker) board.MachineView {
-	v := board.MachineView{ID: w.id, Type: w.rig, Zone: w.zone, Spot: w.spot, Slot: w.slot.slot, Term: w.slot.term,
-		Free: h.free(w, true), Usable: h.startable(w), Silent: w.unresponsive || w.lapsed, Suspect: w.suspect, Leaving: w.notice}
-	if time.Now().Before(w.drainTill) {
-		if v.Vacates = w.vacates; len(w.entries) == 0 && !w.busy {
+func (h *Holder) machineView(w *worker) board.MachineView {
+	v := board.MachineView{ID: w.id, Type: w.machineType, Zone: w.zone, Spot: w.spot, Slot: w.slot.slot, Term: w.slot.term,
+		Free: h.freeRoom(w, true), Usable: h.startable(w), Silent: w.unresponsive || w.lapsed, Suspect: w.suspect, Leaving: w.reclaimNotice}
+	if time.Now().Before(w.drainUntil) {
+		if v.Vacates = w.vacating; len(w.entries) == 0 && !w.commandInFlight {
 			v.Drained = w.drainWish
 		}
 	}
-	v.Sound = time.Since(w.soundAt) < placement.SoundFor
-	for job := range w.errorsBy {
+	v.Sound = time.Since(w.lastSuccess) < placement.SoundFor
+	for job := range w.failedJobs {
 		if len(v.Failed) < placement.MaxFailed {
 			v.Failed = append(v.Failed, job)
 		}
 	}
-	for _, i := range w.images {
+	for _, i := range w.cachedImages {
 		v.Images = append(v.Images, i.name)
 	}
 	for _, e := range w.entries {
-		if j := h.jobs[e.job]; j != nil && (e.state == protocol.TaskPulling || e.unconfirmed()) && !slices.Contains(v.Pulling, j.Spec.Image) && !w.ready[j.Spec.Image] {
+		if j := h.jobs[e.job]; j != nil && (e.state == protocol.TaskPulling || e.unconfirmed()) && !slices.Contains(v.Pulling, j.Spec.Image) && !w.readyImages[j.Spec.Image] {
 			v.Pulling = append(v.Pulling, j.Spec.Image)
 		}
 		v.Tasks = append(v.Tasks, board.TaskView{Task: e.task, Attempt: e.attempt, State: e.state, Cause: e.cause, Saved: e.saved})
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -23,51 +23,51 @@
 	store   *bookkeeping.Store
 	workers *transport.Workers
 
-	types       map[string]protocol.MachineType
-	jobs        map[string]*bookkeeping.Job
-	members     map[string]*bookkeeping.Member
-	records     map[int]*bookkeeping.Slot
-	registry    map[string]*bookkeeping.Machine
-	slots       map[int]*heldSlot
-	byID        map[string]*worker
-	changedJobs map[string]bool // to be looked at in the next tick
-	ended       []string        // jobs that are over, in the order in which they ended
-	gone        []goneMachine   // bounded
-	retired     recent          // machines that were returned
-	version     uint64
-	changed     chan struct{} // closed and renewed when version rises
+	types          map[string]protocol.MachineType
+	jobs           map[string]*bookkeeping.Job
+	members        map[string]*bookkeeping.Member
+	records        map[int]*bookkeeping.Slot
+	registry       map[string]*bookkeeping.Machine
+	slots          map[int]*heldSlot
+	byID           map[string]*worker
+	changedJobs    map[string]bool  // to be looked at in the next tick
+	finalJobs      []string         // jobs that are over, in the order in which they ended
+	removed        []removedMachine // bounded
+	retired        recentNames      // machines that were returned
+	version        uint64
+	versionChanged chan struct{} // closed and renewed when version rises
 
-	window *bookkeeping.Window // whose owners are obeyed
-	latest *bookkeeping.Window // newest known, may start later
+	window       *bookkeeping.Window // whose owners are obeyed
+	latestWindow *bookkeeping.Window // newest known, may start later
 	// ownersSince is the first window of those in a row with the same owners.
 	ownersSince uint64
 	fences      map[string]protocol.Token
 	quotas      *quota.Tree
 
 	syncedAt time.Time
-	// follows is since when each change of the records was seen. What was cancelled and put away
+	// followedSince is since when each change of the records was seen. What was cancelled and put away
 	// before that is not known here.
-	follows  time.Time
-	adopting bool
+	followedSince time.Time
+	adopting      bool
 	// sessionsLost counts the sessions that ended.
 	sessionsLost int
 	// releasing are slots given up whose records don't say so yet.
-	releasing    map[int]*heldSlot
-	writingSlots bool
-	drainsFor    uint64                       // the last wish to drain
-	opinions     map[string]placement.Opinion // of jobs that failed somewhere
-	found        uint64                       // batches of machines that nobody had registered
-	finding      bool
-	// probing: most workers went silent together, and it is being found out whether it is
+	releasing        map[int]*heldSlot
+	writingSlots     bool
+	lastDrainWish    uint64                       // the last wish to drain
+	opinions         map[string]placement.Opinion // of jobs that failed somewhere
+	foundBatches     uint64                       // batches of machines that nobody had registered
+	registeringFound bool
+	// checkingReachability: most workers went silent together, and it is being found out whether it is
 	// this controller that they can't reach, or it is and waits for them.
-	probing bool
+	checkingReachability bool
 	// misrouted are machines that reported here though others hold them, the newest of each
 	// holder; reportedElsewhereAt is when one of this holder's own last did so elsewhere.
 	misrouted           map[string]misroutedReport
 	reportedElsewhereAt time.Time
-	// served is when the state service last did what this controller asked; nil if nobody
+	// stateLastServed is when the state service last did what this controller asked; nil if nobody
 	// knows.
-	served func() time.Time
+	stateLastServed func() time.Time
 	// started is when this process was, and boundUntil the end of the moratoria that the process
 	// before it may have granted. moratoriumPeers reach all siblings, in the order of the settings.
 	// granted is what was granted to them, and moratoriumUntil the end of what all of them granted
@@ -81,9 +81,9 @@
 	moratoriumRequested  time.Time
 	// cancelled are the jobs that are known to be, by records, users' requests or siblings;
 	// watermark is up to when these are all that anyone confirmed.
-	cancelled membership.Cancellations
-	watermark membership.Watermark
-	invalid   time.Time // when reports were last seen not to be answered
+	cancelled        membership.Cancellations
+	watermark        membership.Watermark
+	lastNotAnswering time.Time // when reports were last seen not to be answered
 	// announcements are cancellations that siblings are asked to acknowledge, by announcers in the
 	// order of the settings; acknowledged is closed and renewed when one did.
 	announcements membership.Announcements
@@ -92,7 +92,7 @@
 	acknowledged  chan struct{}
 }
 
-type goneMachine struct {
+type removedMachine struct {
 	id      string
 	version uint64
 }
@@ -106,14 +106,14 @@
 	// roster is what the slot's record says at least: tasks are started only
 	// on machines that stand in it, so that a successor awaits them.
 	roster bookkeeping.Roster
-	// unlisted: former holders kept no roster, so that there may be tasks on
+	// rosterIncomplete: former holders kept no roster, so that there may be tasks on
 	// machines that nothing names.
-	unlisted bool
+	rosterIncomplete bool
 	// awaited are machines that may have tasks and have not reported under
 	// this term yet.
 	awaited map[string]bool
-	// issued is the highest number of a token of machines that were dropped.
-	issued uint64
+	// highestDroppedSeq is the highest number of a token of machines that were dropped.
+	highestDroppedSeq uint64
 }
 
 // NewHolder makes the actor.
@@ -124,31 +124,31 @@
 	}
 	now := time.Now()
 	return &Holder{
-		actor:        newActor(ctx),
-		cfg:          c,
-		quotas:       c.Quotas,
-		session:      session,
-		store:        store,
-		workers:      workers,
-		started:      now,
-		boundUntil:   now.Add(membership.RecoveryPeriod),
-		granted:      map[string]membership.Grant{},
-		watermark:    membership.NewWatermark(siblings),
-		announcing:   map[string]announcing{},
-		acknowledged: make(chan struct{}),
-		misrouted:    map[string]misroutedReport{},
-		types:        map[string]protocol.MachineType{},
-		jobs:         map[string]*bookkeeping.Job{},
-		members:      map[string]*bookkeeping.Member{},
-		records:      map[int]*bookkeeping.Slot{},
-		registry:     map[string]*bookkeeping.Machine{},
-		slots:        map[int]*heldSlot{},
-		byID:         map[string]*worker{},
-		changedJobs:  map[string]bool{},
-		opinions:     map[string]placement.Opinion{},
-		releasing:    map[int]*heldSlot{},
-		changed:      make(chan struct{}),
-		fences:       map[string]protocol.Token{},
+		actor:          newActor(ctx),
+		cfg:            c,
+		quotas:         c.Quotas,
+		session:        session,
+		store:          store,
+		workers:        workers,
+		started:        now,
+		boundUntil:     now.Add(membership.RecoveryPeriod),
+		granted:        map[string]membership.Grant{},
+		watermark:      membership.NewWatermark(siblings),
+		announcing:     map[string]announcing{},
+		acknowledged:   make(chan struct{}),
+		misrouted:      map[string]misroutedReport{},
+		types:          map[string]protocol.MachineType{},
+		jobs:           map[string]*bookkeeping.Job{},
+		members:        map[string]*bookkeeping.Member{},
+		records:        map[int]*bookkeeping.Slot{},
+		registry:       map[string]*bookkeeping.Machine{},
+		slots:          map[int]*heldSlot{},
+		byID:           map[string]*worker{},
+		changedJobs:    map[string]bool{},
+		opinions:       map[string]placement.Opinion{},
+		releasing:      map[int]*heldSlot{},
+		versionChanged: make(chan struct{}),
+		fences:         map[string]protocol.Token{},
 	}
 }
 
@@ -162,23 +162,23 @@
 	return ring.SlotOf(machine, ring.SlotCount(len(h.cfg.Siblings)+1))
 }
 
-func (h *Holder) bump() uint64 {
+func (h *Holder) bumpVersion() uint64 {
 	h.version++
-	close(h.changed)
-	h.changed = make(chan struct{})
+	close(h.versionChanged)
+	h.versionChanged = make(chan struct{})
 	return h.version
 }
 
-func (h *Holder) touch(w *worker) { w.version, w.settled = h.bump(), false }
+func (h *Holder) markChanged(w *worker) { w.version, w.settled = h.bumpVersion(), false }
 
 func (h *Holder) learnWindow(w *bookkeeping.Window) {
-	if w != nil && (h.latest == nil || w.Number > h.latest.Number) {
-		h.latest = w
+	if w != nil && (h.latestWindow == nil || w.Number > h.latestWindow.Number) {
+		h.latestWindow = w
 	}
 }
 
-// obey adopts a window: from now on only its owners' requests count.
-func (h *Holder) obey(w *bookkeeping.Window) {
+// adoptWindow adopts a window: from now on only its owners' requests count.
+func (h *Holder) adoptWindow(w *bookkeeping.Window) {
 	if w == nil || h.window != nil && w.Number <= h.window.Number {
 		return
 	}
@@ -186,35 +186,35 @@
 		h.ownersSince = w.Number
 	}
 	h.window = w
-	h.bump()
+	h.bumpVersion()
 }
 
-// obeyUpTo adopts the newest window if a caller has adopted one that is
+// adoptWindowUpTo adopts the newest window if a caller has adopted one that is
 // newer than ours: the promise not to serve older owners, not the clock, is
 // what lets the new owner place.
-func (h *Holder) obeyUpTo(number uint64) {
-	if h.latest != nil && (h.window == nil || number > h.window.Number) && h.latest.Number >= number {
-		h.obey(h.latest)
+func (h *Holder) adoptWindowUpTo(number uint64) {
+	if h.latestWindow != nil && (h.window == nil || number > h.window.Number) && h.latestWindow.Number >= number {
+		h.adoptWindow(h.latestWindow)
 	}
 }
 
 func (h *Holder) tick() {
 	now := time.Now()
-	if h.latest != nil && (h.window == nil || h.latest.Number > h.window.Number) && now.UnixMilli() >= h.latest.StartMs {
-		h.obey(h.latest)
+	if h.latestWindow != nil && (h.window == nil || h.latestWindow.Number > h.window.Number) && now.UnixMilli() >= h.latestWindow.StartMs {
+		h.adoptWindow(h.latestWindow)
 	}
 	h.requestMoratorium(now)
 	h.retryAnnouncements(now)
-	h.adopt()
-	h.release()
-	h.enroll()
+	h.adoptSlots()
+	h.releaseSlots()
+	h.updateRosters()
 	h.listen(now)
 	lease := config.Surely(h.cfg.WorkerLease())
 	for _, s := range h.slots {
 		if s.ready && !s.complete && now.Sub(s.adopted) > lease {
 			// All leases that former holders may have renewed have lapsed; what this one
 			// answered itself may have been heard.
-			h.lapses(s)
+			h.formerLeasesLapsed(s)
 		}
 	}
 	for _, w := range h.byID {
@@ -223,32 +223,32 @@
 	clear(h.changedJobs)
 }
 
-// maxGone bounds how many removals a feed remembers.
-const maxGone = 256
+// maxRemoved bounds how many removals a feed remembers.
+const maxRemoved = 256
 
-// remove takes a machine out: it was returned, and all on it is gone.
-func (h *Holder) remove(id string) {
+// removeMachine takes a machine out: it was returned, and all on it is gone.
+func (h *Holder) removeMachine(id string) {
 	delete(h.registry, id)
 	h.retired.add(id)
 	if s := h.slots[h.slotOf(id)]; s != nil {
 		delete(s.awaited, id)
-		h.complete()
+		h.updateCompleteness()
 	}
-	h.drop(id)
+	h.dropWorker(id)
 }
 
-// drop takes a machine off what is told of the slots.
-func (h *Holder) drop(id string) {
+// dropWorker takes a machine off what is told of the slots.
+func (h *Holder) dropWorker(id string) {
 	w := h.byID[id]
 	if w == nil {
 		return
 	}
-	w.slot.issued = max(w.slot.issued, w.seq)
+	w.slot.highestDroppedSeq = max(w.slot.highestDroppedSeq, w.seq)
 	delete(h.byID, id)
-	if len(h.gone) == maxGone {
-		h.gone = h.gone[1:]
+	if len(h.removed) == maxRemoved {
+		h.removed = h.removed[1:]
 	}
-	h.gone = append(h.gone, goneMachine{id, h.bump()})
+	h.removed = append(h.removed, removedMachine{id, h.bumpVersion()})
 }
 
 func (h *Holder) jobChanged(j *bookkeeping.Job) {
@@ -268,15 +268,15 @@
 	if old != nil && old.Final() {
 		return
 	}
-	if h.ended = append(h.ended, j.Spec.ID); len(h.ended) > maxFinal {
-		delete(h.jobs, h.ended[0])
-		h.ended = h.ended[1:]
+	if h.finalJobs = append(h.finalJobs, j.Spec.ID); len(h.finalJobs) > maxFinal {
+		delete(h.jobs, h.finalJobs[0])
+		h.finalJobs = h.finalJobs[1:]
 	}
 }
 
 func (h *Holder) machineChanged(id string, m *bookkeeping.Machine) {
 	if m == nil {
-		h.remove(id)
+		h.removeMachine(id)
 		return
 	}
 	if h.retired.has(id) {
@@ -284,25 +284,25 @@
 	}
 	h.registry[id] = m
 	if w := h.byID[id]; w != nil {
-		h.touch(w)
+		h.markChanged(w)
 	}
 }
 
-// mostUnfollowed is after how long without word of the records they may have been read anew: the
+// maxRecordsGap is after how long without word of the records they may have been read anew: the
 // state service keeps more changes than it takes in that time.
-const mostUnfollowed = 30 * time.Second
+const maxRecordsGap = 30 * time.Second
 
 // synced takes in that the records at hand are as new as a read that began then.
 func (h *Holder) synced(began time.Time) {
-	if began.Sub(h.syncedAt) > mostUnfollowed {
-		h.follows = began
+	if began.Sub(h.syncedAt) > maxRecordsGap {
+		h.followedSince = began
 	}
 	h.syncedAt = began
 	h.watermark.ObserveRecords(began)
 }
 
-// over tells whether nothing of a job is to run any more, as far as is known.
-func (h *Holder) over(id string) bool {
+// isJobOver tells whether nothing of a job is to run any more, as far as is known.
+func (h *Holder) isJobOver(id string) bool {
 	j := h.jobs[id]
 	return j != nil && j.Final() || h.cancelled.Has(id)
 }
@@ -321,12 +321,12 @@
 		if w.suspect {
 			c.Suspect++
 		}
-		if !w.doubted.IsZero() {
+		if !w.quarantinedSince.IsZero() {
 			c.Doubted++
 		}
-		if now.Before(w.drainTill) {
+		if now.Before(w.drainUntil) {
 			c.Draining++
-			if w.vacates {
+			if w.vacating {
 				c.Vacating++
 			}
 		}
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -179,14 +179,14 @@
 				},
 				"a start is held up": func(rt *rapid.T) {
 					w := h.byID["host-000004"]
-					if w == nil || w.lapsed || w.busy || !s.complete || !h.startable(w) || m.running || m.held != nil || w.entries["wk-1/0"] != nil {
+					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.running || m.held != nil || w.entries["wk-1/0"] != nil {
 						return
 					}
 					w.seq++
 					o := protocol.Orders{Token: protocol.NewToken(term, w.seq), Session: w.session, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 1}}}
 					w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 1, state: board.TaskStarting}
 					w.noteStarts(o, time.Now().Add(commandLifetime(c)))
-					w.busy, w.askedAfter = true, w.ticket
+					w.commandInFlight, w.ticketAtSend = true, w.ticket
 					m.held, m.heldAt = &o, time.Now()
 					h.commandAnswered(w, o, nil, false, transport.ErrUnknown)
 				},
@@ -199,13 +199,13 @@
 					// Started by whoever holds it, by a direct command, who knows it to be there: only
 					// where it is known. Whether its answer comes or not, unless it began anew unseen.
 					w := h.byID["host-000004"]
-					if w == nil || w.lapsed || w.busy || !s.complete || !h.startable(w) || m.deaf || m.running || w.entries["wk-1/0"] != nil || m.session != w.session {
+					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.deaf || m.running || w.entries["wk-1/0"] != nil || m.session != w.session {
 						return
 					}
 					w.seq++
 					o := protocol.Orders{Token: protocol.NewToken(term, w.seq), Session: w.session, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 1}}}
 					w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 1, state: board.TaskStarting, token: o.Token}
-					w.busy, w.askedAfter = true, w.ticket
+					w.commandInFlight, w.ticketAtSend = true, w.ticket
 					m.token, m.running, m.next = o.Token, true, time.Now()
 					rep := m.snapshot()
 					if m.again || rapid.Bool().Draw(rt, "answered") {
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -83,7 +83,7 @@
 func (r HolderRPC) Owed(_ OwedArgs, reply *OwedReply) error {
 	owed, ok := askFor(r.h.ctx, &r.h.actor, func() time.Duration { return membership.Outstanding(r.h.moratoriumRequested, time.Now()) })
 	if !ok {
-		return errNotNow
+		return errRequestVoid
 	}
 	reply.ForMs = owed.Milliseconds() + 1
 	return nil
@@ -137,7 +137,7 @@
 func (r HolderRPC) Promise(a PromiseArgs, reply *PromiseReply) error {
 	granted, ok := askFor(r.h.ctx, &r.h.actor, func() PromiseReply { return r.h.grantMoratorium(&a) })
 	if !ok {
-		return errNotNow
+		return errRequestVoid
 	}
 	*reply = granted
 	return nil
@@ -154,8 +154,8 @@
 		RecordsLoaded:  !h.syncedAt.IsZero(),
 		RequesterAlive: member != nil && member.Term == a.Term,
 	}
-	if h.served != nil {
-		grantor.Unserved = now.Sub(h.served())
+	if h.stateLastServed != nil {
+		grantor.Unserved = now.Sub(h.stateLastServed())
 	}
 	reply := PromiseReply{Given: grantor.Grants(), AgeMs: now.Sub(h.started).Milliseconds()}
 	if reply.Given {
@@ -168,7 +168,7 @@
 	var complete bool
 	reply.Cancelled, complete = h.cancelled.Since(since)
 	reply.Whole = complete && a.SinceMs > 0
-	if grantor.RecordsLoaded && !since.Before(h.follows) {
+	if grantor.RecordsLoaded && !since.Before(h.followedSince) {
 		reply.SyncedMs = now.Sub(h.syncedAt).Milliseconds() + 1
 	}
 	return reply
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -45,7 +45,7 @@
 	unclear map[string]*jobState
 	machReg map[string]*bookkeeping.Machine
 	rosters map[int]bookkeeping.Roster
-	gone    recent // machines that the registry dropped
+	gone    recentNames // machines that the registry dropped
 
 	windows []*bookkeeping.Window // those obeyed in a row without a gap, bounded
 	latest  *bookkeeping.Window
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -252,7 +252,7 @@
 	l := o.sumUp()
 	var waiting []*jobState
 	for id, js := range o.active {
-		if live, _ := o.placed(id); o.account(js) != "" && live < js.job.Spec.Tasks-js.job.DoneCount() && js.job.Waits == 0 {
+		if live, _ := o.countTasks(id); o.account(js) != "" && live < js.job.Spec.Tasks-js.job.DoneCount() && js.job.Waits == 0 {
 			waiting = append(waiting, js)
 		}
 	}
--- a/internal/coordination/quota_view.go
+++ b/internal/coordination/quota_view.go
@@ -32,7 +32,7 @@
 	for id := range o.board.Tasks {
 		if js := o.jobs[id]; js != nil {
 			if account := o.account(js); account != "" {
-				live, _ := o.placed(id)
+				live, _ := o.countTasks(id)
 				l.Use(account, js.job.Spec.Need().Scale(float64(live)))
 			}
 		}
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -91,7 +91,7 @@
 		return a
 	})
 	if !asked || !a.ok {
-		return errNotNow
+		return errRequestVoid
 	}
 	*reply = a.Reply
 	return nil
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -24,12 +24,12 @@
 // to the state service and its siblings as if nothing were wrong.
 func (h *Holder) listen(now time.Time) {
 	if !h.mayAnswer() {
-		h.invalid = now
+		h.lastNotAnswering = now
 	}
 	// Workers that were answered 503 for want of a session have tried others
 	// meanwhile: once, an outage of the state service had all controllers call
 	// themselves deaf together, and their slots change hands.
-	if h.session.WorkersUnreachable() || now.Sub(h.invalid) < h.cfg.ReportEvery()*3 {
+	if h.session.WorkersUnreachable() || now.Sub(h.lastNotAnswering) < h.cfg.ReportEvery()*3 {
 		return
 	}
 	total, quiet := 0, 0
@@ -54,20 +54,20 @@
 	// and handing them over helps none. (Once all controllers took themselves for deaf together,
 	// and all slots changed hands, as often as machines had been mute for a moment.)
 	elsewhere := now.Sub(h.reportedElsewhereAt) < h.misroutedRecently()
-	if total < 3 || 3*quiet <= 2*total || h.probing || !elsewhere && len(addrs) == 0 {
+	if total < 3 || 3*quiet <= 2*total || h.checkingReachability || !elsewhere && len(addrs) == 0 {
 		return
 	}
-	h.probing = true
+	h.checkingReachability = true
 	go func() {
 		if !elsewhere && h.reachable(addrs) {
 			slog.Info("machines can't reach any controller", "silent", quiet, "of", total)
 			pause(h.ctx, probeEvery)
-			h.tell(func() { h.probing = false })
+			h.tell(func() { h.checkingReachability = false })
 			return
 		}
 		slog.Info("workers can't reach this controller", "silent", quiet, "of", total)
 		h.awaitWorkers(addrs, now.Add(longestUnreachable))
-		h.tell(func() { h.probing = false })
+		h.tell(func() { h.checkingReachability = false })
 	}()
 }
 
--- a/internal/coordination/recent.go
+++ b/internal/coordination/recent.go
@@ -1,24 +1,24 @@
 package coordination
 
-// recent is a set of the names of machines that went last, so many that old messages which name
+// recentNames is a set of the names of machines that went last, so many that old messages which name
 // one are known for old. The zero value is empty. (Once all were forgotten together when there
 // were too many, and what was on its way then was taken for new.)
-type recent struct {
+type recentNames struct {
 	names map[string]bool
 	order []string
 }
 
-// maxRecent bounds what is remembered of machines that were returned.
-const maxRecent = 5000
+// maxRecentNames bounds what is remembered of machines that were returned.
+const maxRecentNames = 5000
 
-func (r *recent) add(name string) {
+func (r *recentNames) add(name string) {
 	if r.names[name] {
 		return
 	}
 	if r.names == nil {
 		r.names = map[string]bool{}
 	}
-	if len(r.order) == maxRecent {
+	if len(r.order) == maxRecentNames {
 		delete(r.names, r.order[0])
 		r.order = r.order[1:]
 	}
@@ -26,4 +26,4 @@
 	r.order = append(r.order, name)
 }
 
-func (r *recent) has(name string) bool { return r.names[name] }
+func (r *recentNames) has(name string) bool { return r.names[name] }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -43,19 +43,19 @@
 		h.noteRestart(w, rep) // only a worker that began anew was given this token
 		was = w.session
 	default:
-		return h.answerOlder(w, rep)
+		return h.answerStaleReport(w, rep)
 	}
 	if was == rep.Session {
 		h.noteAck(w, rep.Token)
 	}
-	if !h.hear(w, rep) {
+	if !h.applyReport(w, rep) {
 		return http.StatusServiceUnavailable, nil
 	}
 	w.reported = w.lastHeard
 	if late && was != 0 {
 		w.seq++ // does it hear? Its next report shows
 		w.ack.requireAck(protocol.NewToken(s.term, w.seq), time.Now())
-		h.touch(w)
+		h.markChanged(w)
 	}
 	h.sendCommands(w)
 	return h.answerReport(w, rep)
@@ -75,8 +75,8 @@
 	if h.members[holder] != nil {
 		return http.StatusMisdirectedRequest, protocol.Redirect{Node: holder}
 	}
-	if h.latest != nil && slot < len(h.latest.Assignment) && !h.wants(slot) && h.members[h.latest.Assignment[slot]] != nil {
-		return http.StatusMisdirectedRequest, protocol.Redirect{Node: h.latest.Assignment[slot]}
+	if h.latestWindow != nil && slot < len(h.latestWindow.Assignment) && !h.isAssignedHere(slot) && h.members[h.latestWindow.Assignment[slot]] != nil {
+		return http.StatusMisdirectedRequest, protocol.Redirect{Node: h.latestWindow.Assignment[slot]}
 	}
 	return http.StatusServiceUnavailable, nil
 }
@@ -85,7 +85,7 @@
 func (h *Holder) workerOf(machine string, s *heldSlot) *worker {
 	w := h.byID[machine]
 	if w == nil {
-		w = &worker{id: machine, slot: s, seq: s.issued + 1, firstHeard: time.Now(), entries: map[string]*entry{}, openStarts: map[string]openStart{}, errorsBy: map[string]bool{}, ready: map[string]bool{}}
+		w = &worker{id: machine, slot: s, seq: s.highestDroppedSeq + 1, firstHeard: time.Now(), entries: map[string]*entry{}, openStarts: map[string]openStart{}, failedJobs: map[string]bool{}, readyImages: map[string]bool{}}
 		h.byID[machine] = w
 	}
 	return w
@@ -99,13 +99,13 @@
 		h.probeWorker(w)
 		return http.StatusServiceUnavailable, nil
 	}
-	commands, known := h.stopsCancelled(w, rep)
+	commands, known := h.cancellationStops(w, rep)
 	if !known {
 		return http.StatusServiceUnavailable, nil // owners look such jobs up
 	}
 	commands = append(commands, h.repeatUnanswered(w, time.Now())...)
-	w.answered, w.answeredWith = time.Now(), protocol.NewToken(w.slot.term, w.seq)
-	return http.StatusOK, protocol.ReportAnswer{Token: w.answeredWith, Commands: commands}
+	w.unackedAnswer, w.unackedAnswerToken = time.Now(), protocol.NewToken(w.slot.term, w.seq)
+	return http.StatusOK, protocol.ReportAnswer{Token: w.unackedAnswerToken, Commands: commands}
 }
 
 // isNewer tells whether a report is newer than all that was heard of its machine: by its numbers,
@@ -113,25 +113,25 @@
 // machine began anew and counts from the beginning, before or after: a copy from before that,
 // with a later session, once had what ran there taken for gone.
 func (w *worker) isNewer(rep *protocol.Report) bool {
-	return rep.Newer(w.session, w.ticket) && rep.Token >= w.shown
+	return rep.Newer(w.session, w.ticket) && rep.Token >= w.highestToken
 }
 
-// hear takes in a report, from whichever way it came; false if it is no news.
-func (h *Holder) hear(w *worker, rep *protocol.Report) bool {
+// applyReport takes in a report, from whichever way it came; false if it is no news.
+func (h *Holder) applyReport(w *worker, rep *protocol.Report) bool {
 	if !w.isNewer(rep) || rep.Session <= w.lapsedIn {
 		return false
 	}
 	now := time.Now()
-	w.shown = rep.Token
+	w.highestToken = rep.Token
 	if rep.Token >= w.restartToken {
 		w.restartToken = 0 // it was heard of since: what comes with that token now is a copy
 	}
-	news := rep.Session > w.session || w.lapsed || w.unresponsive || w.notice != (rep.NoticeS != nil)
+	news := rep.Session > w.session || w.lapsed || w.unresponsive || w.reclaimNotice != (rep.NoticeS != nil)
 	was := w.verified
 	if rep.Session > w.session && w.session != 0 {
 		h.forgetTasks(w) // the former session's tasks were killed
 	}
-	if rep.Session > w.session && w.session != 0 && !w.lapsed && now.Sub(w.entitled()) < h.cfg.WorkerLease() {
+	if rep.Session > w.session && w.session != 0 && !w.lapsed && now.Sub(w.lastPossibleRenewal()) < h.cfg.WorkerLease() {
 		// Its lease ended though we answered: it has to show that it hears before it is used.
 		w.seq++
 		w.ack.requireAck(protocol.NewToken(w.slot.term, w.seq), now)
@@ -141,19 +141,19 @@
 		// What was answered was in a former session. The lease of this one counts from when it
 		// began, which was before now. (Counted from the slot's adoption, one of which a direct
 		// command told first had lapsed at once, and was turned away until its next.)
-		w.lastAnswer, w.answered = now, time.Time{}
+		w.lastAnswer, w.unackedAnswer = now, time.Time{}
 	}
 	w.session, w.ticket = rep.Session, rep.Ticket
 	if w.ack.observe(rep.Token) {
 		news = true
 	}
-	w.addr, w.rig, w.zone, w.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
+	w.addr, w.machineType, w.zone, w.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
 	w.lastHeard = now
 	w.lapsed, w.unresponsive = false, false
-	w.notice = rep.NoticeS != nil
+	w.reclaimNotice = rep.NoticeS != nil
 	news = news || !was
-	if rep.Token.Term() == w.slot.term && h.believe(w, rep) || news {
-		h.touch(w)
+	if rep.Token.Term() == w.slot.term && h.applyTasks(w, rep) || news {
+		h.markChanged(w)
 	}
 	return true
 }
@@ -163,7 +163,7 @@
 	now := time.Now()
 	for _, e := range w.entries {
 		if e.state != board.TaskReserved && e.state != board.TaskQueued {
-			w.dropEntry(e, now, !h.over(e.job))
+			w.dropEntry(e, now, !h.isJobOver(e.job))
 		}
 	}
 }
@@ -196,13 +196,13 @@
 	return counted
 }
 
-// believe makes a report the truth about its machine; it tells whether that
+// applyTasks makes a report the truth about its machine; it tells whether that
 // changed anything.
-func (h *Holder) believe(w *worker, rep *protocol.Report) (news bool) {
+func (h *Holder) applyTasks(w *worker, rep *protocol.Report) (news bool) {
 	if !w.verified {
 		w.verified = true
 		delete(w.slot.awaited, w.id)
-		h.complete()
+		h.updateCompleteness()
 		news = true
 	}
 	now := time.Now()
@@ -226,10 +226,10 @@
 		if t.Cause == protocol.CauseIncomplete && e.state != "" && !e.exited() {
 			// Its owner says what becomes of its place. (Once others had it at once; it started
 			// elsewhere, fetched its image there, and the rest of the gang waited in vain in turn.)
-			e.until = now.Add(askedFor)
+			e.until = now.Add(incompletePlaceLifetime)
 		}
 		e.state, e.cause, e.saved, e.token = t.State, t.Cause, t.Saved, 0
-		if e.state == protocol.TaskRunning && !e.proven && !e.ran.IsZero() && time.Since(e.ran) >= placement.ProvenAfter {
+		if e.state == protocol.TaskRunning && !e.proven && !e.runningSince.IsZero() && time.Since(e.runningSince) >= placement.ProvenAfter {
 			e.proven = true
 			h.succeeded(w)
 		}
@@ -239,11 +239,11 @@
 		case listed[name] || e.state == board.TaskQueued || e.state == board.TaskReserved:
 		case e.state == board.TaskStarting && rep.Token <= e.token:
 			// The start may still be on its way (invariant 3).
-		case !w.dropEntry(e, now, !h.over(e.job)):
+		case !w.dropEntry(e, now, !h.isJobOver(e.job)):
 		default:
 			news = true
-			if e.exited() && e.keep && !h.over(e.job) && h.startable(w) {
-				w.entries[name] = &entry{task: name, job: e.job, index: e.index, attempt: e.attempt, state: board.TaskReserved, until: now.Add(reservedFor)}
+			if e.exited() && e.keepRoom && !h.isJobOver(e.job) && h.startable(w) {
+				w.entries[name] = &entry{task: name, job: e.job, index: e.index, attempt: e.attempt, state: board.TaskReserved, until: now.Add(reservationLifetime)}
 			}
 		}
 	}
@@ -251,10 +251,10 @@
 }
 
 const (
-	// askedFor is for how long the place of a task that waited for its gang in vain is kept
+	// incompletePlaceLifetime is for how long the place of a task that waited for its gang in vain is kept
 	// until its owner asks for it; reservedFor how long a reservation lasts.
-	askedFor    = 3 * time.Second
-	reservedFor = 6 * time.Second
+	incompletePlaceLifetime = 3 * time.Second
+	reservationLifetime     = 6 * time.Second
 )
 
 // noteState learns from a task's new state: which images the machine has,
@@ -262,13 +262,13 @@
 func (h *Holder) noteState(w *worker, e *entry, t protocol.TaskReport) {
 	slog.Debug("task", "task", e.task, "machine", w.id, "was", e.state, "is", t.State, "cause", t.Cause)
 	if j := h.jobs[e.job]; j != nil && t.State != protocol.TaskExited {
-		w.useImage(image{j.Spec.Image, j.Spec.ImageGB}, h.types[w.rig].CacheGB)
+		w.useImage(image{j.Spec.Image, j.Spec.ImageGB}, h.types[w.machineType].CacheGB)
 		if t.State != protocol.TaskPulling {
-			w.ready[j.Spec.Image] = true
+			w.readyImages[j.Spec.Image] = true
 		}
 	}
 	if t.State == protocol.TaskRunning && e.state != "" {
-		e.ran = time.Now()
+		e.runningSince = time.Now()
 	}
 	if t.State != protocol.TaskExited || e.state == "" {
 		return // what was there before is no news of the machine
@@ -283,16 +283,16 @@
 
 // useImage puts an image at the recent end of what the machine caches.
 func (w *worker) useImage(img image, cache float64) {
-	w.images = slices.DeleteFunc(w.images, func(i image) bool { return i.name == img.name })
-	w.images = append(w.images, img)
+	w.cachedImages = slices.DeleteFunc(w.cachedImages, func(i image) bool { return i.name == img.name })
+	w.cachedImages = append(w.cachedImages, img)
 	total := 0.0
-	for i := len(w.images) - 1; i >= 0; i-- {
-		total += w.images[i].gb
-		if total > cache && i < len(w.images)-1 {
-			for _, old := range w.images[:i+1] {
-				delete(w.ready, old.name)
+	for i := len(w.cachedImages) - 1; i >= 0; i-- {
+		total += w.cachedImages[i].gb
+		if total > cache && i < len(w.cachedImages)-1 {
+			for _, old := range w.cachedImages[:i+1] {
+				delete(w.readyImages, old.name)
 			}
-			w.images = slices.Clone(w.images[i+1:])
+			w.cachedImages = slices.Clone(w.cachedImages[i+1:])
 			return
 		}
 	}
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -86,7 +86,7 @@
 	}
 	h := o.holders[name]
 	if h == nil {
-		o.answered(name, a, mine, nil, errNotNow)
+		o.answered(name, a, mine, nil, errRequestVoid)
 		return
 	}
 	go func() {
@@ -98,7 +98,7 @@
 
 func (o *Owner) answered(name string, a *AskArgs, mine []*pendingStart, r *AskReply, err error) {
 	o.dirty = true
-	refused := errors.Is(err, transport.ErrRefused) || err != nil && err.Error() == errNotNow.Error()
+	refused := errors.Is(err, transport.ErrRefused) || err != nil && err.Error() == errRequestVoid.Error()
 	if err != nil && !refused {
 		o.peers[name].fence = max(o.peers[name].fence, uint64(a.ID)&(1<<32-1)+1)
 		slog.Debug("request unanswered", "holder", name, "err", err)
--- a/internal/coordination/serve.go
+++ b/internal/coordination/serve.go
@@ -12,14 +12,14 @@
 // HolderRPC is what siblings may call, and the controller itself alike.
 type HolderRPC struct{ h *Holder }
 
-var errNotNow = errors.New("request is void or the holder may not act")
+var errRequestVoid = errors.New("request is void or the holder may not act")
 
 // Ask carries out an owner's request.
 func (r HolderRPC) Ask(a AskArgs, reply *AskReply) error {
 	ok := false
 	var out AskReply
-	if !r.h.ask(r.h.ctx, func() { out, ok = r.h.serve(&a) }) || !ok {
-		return errNotNow
+	if !r.h.ask(r.h.ctx, func() { out, ok = r.h.handleAsk(&a) }) || !ok {
+		return errRequestVoid
 	}
 	*reply = out
 	return nil
@@ -29,8 +29,8 @@
 // none. It runs on the caller's goroutine.
 func (r HolderRPC) Feed(a FeedArgs, reply *board.News) error { return r.h.feed(a, reply) }
 
-// drainFor is how long a wish to drain stands without being repeated.
-const drainFor = 12 * time.Second
+// drainLifetime is how long a wish to drain stands without being repeated.
+const drainLifetime = 12 * time.Second
 
 // Drain keeps machines free of new tasks, and no others that were before.
 func (r HolderRPC) Drain(a DrainArgs, _ *Nothing) error {
@@ -39,10 +39,10 @@
 }
 
 func (h *Holder) drain(a *DrainArgs) {
-	if a.Wish < h.drainsFor {
+	if a.Wish < h.lastDrainWish {
 		return // of a former leader
 	}
-	h.drainsFor = a.Wish
+	h.lastDrainWish = a.Wish
 	wanted, vacate := make(map[string]bool, len(a.Machines)), make(map[string]bool, len(a.Vacate))
 	for _, id := range a.Machines {
 		wanted[id] = true
@@ -52,7 +52,7 @@
 	}
 	now := time.Now()
 	for id, w := range h.byID {
-		drains := now.Before(w.drainTill)
+		drains := now.Before(w.drainUntil)
 		switch {
 		case wanted[id] && !vacate[id] && !drains && !w.suspect && len(w.entries) > 0:
 			// It got work that the leader has not seen yet: it is not idle any more.
@@ -60,19 +60,19 @@
 			if !drains {
 				w.drainWish = a.Wish
 			}
-			w.drainTill = now.Add(drainFor)
+			w.drainUntil = now.Add(drainLifetime)
 			for name, e := range w.entries {
 				if e.state == board.TaskReserved || e.state == board.TaskQueued {
 					delete(w.entries, name)
 				}
 			}
-			if !drains || len(w.entries) == 0 || w.vacates != vacate[id] {
-				h.touch(w)
+			if !drains || len(w.entries) == 0 || w.vacating != vacate[id] {
+				h.markChanged(w)
 			}
-			w.vacates = vacate[id]
+			w.vacating = vacate[id]
 		case drains:
-			w.drainTill = time.Time{}
-			h.touch(w)
+			w.drainUntil = time.Time{}
+			h.markChanged(w)
 		}
 	}
 }
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -20,26 +20,26 @@
 	ttl   time.Duration
 	store *bookkeeping.Store
 	base  time.Time
-	// until is the end of validity as nanoseconds after base.
-	until              atomic.Int64
+	// validUntil is the end of validity as nanoseconds after base.
+	validUntil         atomic.Int64
 	term               atomic.Uint64
 	lease              atomic.Uint64
 	workersUnreachable atomic.Bool
-	// lost is called after a session ended and before the next one begins.
-	lost func()
+	// onLost is called after a session ended and before the next one begins.
+	onLost func()
 }
 
 // NewSession makes a session; Run opens it.
 func NewSession(c *config.Config, store *bookkeeping.Store, lost func()) *Session {
-	return &Session{name: c.Name, ttl: c.SessionTTL(), store: store, base: time.Now(), lost: lost}
+	return &Session{name: c.Name, ttl: c.SessionTTL(), store: store, base: time.Now(), onLost: lost}
 }
 
 // Valid tells whether the controller may act now.
-func (s *Session) Valid() bool { return int64(time.Since(s.base)) < s.until.Load() }
+func (s *Session) Valid() bool { return int64(time.Since(s.base)) < s.validUntil.Load() }
 
 // Left is for how long the controller may act without another renewal.
 func (s *Session) Left() time.Duration {
-	return max(0, time.Duration(s.until.Load())-time.Since(s.base))
+	return max(0, time.Duration(s.validUntil.Load())-time.Since(s.base))
 }
 
 // Term is the incarnation of this controller, 0 before its first session.
@@ -49,7 +49,7 @@
 func (s *Session) Lease() uint64 { return s.lease.Load() }
 
 func (s *Session) extend(sent time.Time) {
-	s.until.Store(int64(sent.Add(config.SurelyWithin(s.ttl)).Sub(s.base)))
+	s.validUntil.Store(int64(sent.Add(config.SurelyWithin(s.ttl)).Sub(s.base)))
 }
 
 // Run opens sessions and renews them until ctx ends.
@@ -67,8 +67,8 @@
 		s.extend(sent)
 		slog.Info("session opened", "term", term)
 		s.renew(ctx, lease)
-		s.until.Store(0)
-		s.lost()
+		s.validUntil.Store(0)
+		s.onLost()
 		slog.Info("session lost", "term", term)
 	}
 }
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -14,15 +14,15 @@
 
 // Which slots a holder has, and what their records say.
 
-// reset forgets all slots, as after a restart: the session was lost, and
+// dropAllSlots forgets all slots, as after a restart: the session was lost, and
 // others may have taken them.
-func (h *Holder) reset() {
+func (h *Holder) dropAllSlots() {
 	h.moratoriumUntil = time.Time{}
 	h.sessionsLost++
 	h.slots = map[int]*heldSlot{}
 	h.byID = map[string]*worker{}
-	h.gone = nil
-	h.bump()
+	h.removed = nil
+	h.bumpVersion()
 }
 
 // slotChanged takes in a slot's record. One of a higher term than this holder's says that somebody took
@@ -43,30 +43,30 @@
 			delete(h.byID, id)
 		}
 	}
-	h.bump()
+	h.bumpVersion()
 }
 
-func (h *Holder) wants(slot int) bool {
-	return h.latest != nil && slot < len(h.latest.Assignment) && h.latest.Assignment[slot] == h.cfg.Name
+func (h *Holder) isAssignedHere(slot int) bool {
+	return h.latestWindow != nil && slot < len(h.latestWindow.Assignment) && h.latestWindow.Assignment[slot] == h.cfg.Name
 }
 
-// takeSlotsWithin bounds an adoption.
-const takeSlotsWithin = 8 * time.Second
+// takeSlotsTimeout bounds an adoption.
+const takeSlotsTimeout = 8 * time.Second
 
-// adopt takes the slots that are assigned to this controller and that
+// adoptSlots takes the slots that are assigned to this controller and that
 // nobody can be acting for.
-func (h *Holder) adopt() {
-	if h.adopting || !h.session.Valid() || h.latest == nil {
+func (h *Holder) adoptSlots() {
+	if h.adopting || !h.session.Valid() || h.latestWindow == nil {
 		return
 	}
 	incarnation, sessionsLost := h.session.Term(), h.sessionsLost
-	claims := h.claims(incarnation)
+	claims := h.claimableSlots(incarnation)
 	if len(claims) == 0 {
 		return
 	}
 	h.adopting = true
 	go func() {
-		ctx, cancel := context.WithTimeout(h.ctx, takeSlotsWithin)
+		ctx, cancel := context.WithTimeout(h.ctx, takeSlotsTimeout)
 		defer cancel()
 		term, err := h.store.TakeSlots(ctx, h.cfg.Name, incarnation, claims)
 		if err != nil {
@@ -74,27 +74,27 @@
 			h.tell(func() { h.adopting = false })
 			return
 		}
-		h.tell(func() { h.claimed(claims, term, sessionsLost) })
+		h.tell(func() { h.claimsTaken(claims, term, sessionsLost) })
 	}()
 }
 
-// claimed takes in that slots were taken, after so many sessions had been lost. The session that they
+// claimsTaken takes in that slots were taken, after so many sessions had been lost. The session that they
 // were taken for may have ended since, also where the next one has not begun: others may take them
 // then, and this holder would act for them beside those.
-func (h *Holder) claimed(claims []bookkeeping.Claim, term uint64, sessionsLost int) {
+func (h *Holder) claimsTaken(claims []bookkeeping.Claim, term uint64, sessionsLost int) {
 	h.adopting = false
 	if h.sessionsLost == sessionsLost {
-		h.adopted(claims, term)
+		h.addAdoptedSlots(claims, term)
 	}
 }
 
-// claims are the slots to take now, as many as one transaction takes.
-func (h *Holder) claims(incarnation uint64) (claims []bookkeeping.Claim) {
-	for slot := range h.latest.Assignment {
-		if !h.wants(slot) || h.slots[slot] != nil {
+// claimableSlots are the slots to take now, as many as one transaction takes.
+func (h *Holder) claimableSlots(incarnation uint64) (claims []bookkeeping.Claim) {
+	for slot := range h.latestWindow.Assignment {
+		if !h.isAssignedHere(slot) || h.slots[slot] != nil {
 			continue
 		}
-		c, may := h.claim(slot, incarnation)
+		c, may := h.claimFor(slot, incarnation)
 		if !may {
 			continue
 		}
@@ -105,9 +105,9 @@
 	return claims
 }
 
-// claim is what it takes to take a slot, if nobody can be acting for it: another process may be as
+// claimFor is what it takes to take a slot, if nobody can be acting for it: another process may be as
 // long as its session lives; the member record tells.
-func (h *Holder) claim(slot int, incarnation uint64) (c bookkeeping.Claim, may bool) {
+func (h *Holder) claimFor(slot int, incarnation uint64) (c bookkeeping.Claim, may bool) {
 	c = bookkeeping.Claim{Slot: slot, Seen: h.records[slot]}
 	if c.Seen == nil || c.Seen.Holder == "" {
 		return c, true
@@ -126,23 +126,23 @@
 	return c, true
 }
 
-// adopted takes in that slots were taken under a new term.
-func (h *Holder) adopted(claims []bookkeeping.Claim, term uint64) {
+// addAdoptedSlots takes in that slots were taken under a new term.
+func (h *Holder) addAdoptedSlots(claims []bookkeeping.Claim, term uint64) {
 	for _, c := range claims {
-		s := &heldSlot{slot: c.Slot, term: term, adopted: time.Now(), awaited: map[string]bool{}, roster: bookkeeping.Roster{}, unlisted: !c.Listed()}
+		s := &heldSlot{slot: c.Slot, term: term, adopted: time.Now(), awaited: map[string]bool{}, roster: bookkeeping.Roster{}, rosterIncomplete: !c.Listed()}
 		if c.Seen != nil {
 			maps.Copy(s.roster, c.Seen.Roster)
 		}
 		h.slots[c.Slot] = s
 	}
 	slog.Info("took slots", "count", len(claims), "term", term)
-	h.bump()
-	h.inform(term)
+	h.bumpVersion()
+	h.loadAdoptedSlots(term)
 }
 
-// inform reads, after an adoption, what the former holders registered and
+// loadAdoptedSlots reads, after an adoption, what the former holders registered and
 // which windows they may have obeyed. Only then are the slots ready.
-func (h *Holder) inform(term uint64) {
+func (h *Holder) loadAdoptedSlots(term uint64) {
 	go func() {
 		for h.ctx.Err() == nil {
 			ctx, cancel := context.WithTimeout(h.ctx, 8*time.Second)
@@ -160,7 +160,7 @@
 				// The former holder may have obeyed any published window,
 				// also one that has not begun by this clock.
 				h.learnWindow(win)
-				h.obey(win)
+				h.adoptWindow(win)
 				for _, m := range machines {
 					s := h.slots[h.slotOf(m.ID)]
 					if s == nil || s.term != term {
@@ -178,18 +178,18 @@
 						s.ready = true
 					}
 				}
-				h.complete()
+				h.updateCompleteness()
 			})
 			return
 		}
 	}()
 }
 
-// lapses takes in that all leases which former holders of a slot may have renewed have
+// formerLeasesLapsed takes in that all leases which former holders of a slot may have renewed have
 // lapsed: nothing is on its machines but where an answer of ours may have been heard and
 // nothing came since. Once those were taken for empty, too, though one of them, cut off right
 // after its first report, ran on for as long as that report was later than the adoption.
-func (h *Holder) lapses(s *heldSlot) {
+func (h *Holder) formerLeasesLapsed(s *heldSlot) {
 	unknown := map[string]bool{}
 	for _, w := range h.byID {
 		if w.slot == s && !w.verified && !w.lapsed {
@@ -201,41 +201,41 @@
 			delete(s.awaited, id)
 		}
 	}
-	if s.unlisted && len(unknown) == 0 {
-		s.unlisted = false
+	if s.rosterIncomplete && len(unknown) == 0 {
+		s.rosterIncomplete = false
 	}
-	h.complete()
+	h.updateCompleteness()
 }
 
-// complete finds out which slots are fully known by now.
-func (h *Holder) complete() {
+// updateCompleteness finds out which slots are fully known by now.
+func (h *Holder) updateCompleteness() {
 	for _, s := range h.slots {
-		if s.ready && !s.complete && len(s.awaited) == 0 && !s.unlisted {
+		if s.ready && !s.complete && len(s.awaited) == 0 && !s.rosterIncomplete {
 			s.complete = true
 			slog.Info("slot complete", "slot", s.slot, "after", time.Since(s.adopted))
-			h.bump()
+			h.bumpVersion()
 		}
 	}
 }
 
-// release gives up slots that the assignment gives to another living controller.
-func (h *Holder) release() {
-	if h.latest == nil {
+// releaseSlots gives up slots that the assignment gives to another living controller.
+func (h *Holder) releaseSlots() {
+	if h.latestWindow == nil {
 		return
 	}
 	for slot, s := range h.slots {
-		if slot < len(h.latest.Assignment) && h.wants(slot) {
+		if slot < len(h.latestWindow.Assignment) && h.isAssignedHere(slot) {
 			continue
 		}
 		rec := h.records[slot]
-		if slot < len(h.latest.Assignment) && h.members[h.latest.Assignment[slot]] == nil || rec == nil || rec.Term != s.term {
+		if slot < len(h.latestWindow.Assignment) && h.members[h.latestWindow.Assignment[slot]] == nil || rec == nil || rec.Term != s.term {
 			continue
 		}
 		// Stop acting first, then say so.
 		h.forgetSlot(s)
 		h.releasing[slot] = s
 	}
-	h.releaseUnheard()
+	h.releaseUnconfirmed()
 	if len(h.releasing) == 0 || h.writingSlots {
 		return
 	}
@@ -248,17 +248,17 @@
 			changes = append(changes, bookkeeping.SlotChange{Slot: slot, Seen: rec.Version, To: bookkeeping.Slot{Term: rec.Term, Roster: rec.Roster, Listed: rec.Listed}})
 		}
 	}
-	h.changeSlots(transport.Vital, changes, nil)
+	h.writeSlotRecords(transport.Vital, changes, nil)
 }
 
-// releaseUnheard gives up slots that this process holds by their records and does not act for, when
+// releaseUnconfirmed gives up slots that this process holds by their records and does not act for, when
 // they are assigned to another living controller: the answer to the transaction that took them was lost.
 // One that is assigned to this controller is taken anew (adopt).
-func (h *Holder) releaseUnheard() {
+func (h *Holder) releaseUnconfirmed() {
 	if h.adopting || !h.session.Valid() {
 		return
 	}
-	for slot, holder := range h.latest.Assignment {
+	for slot, holder := range h.latestWindow.Assignment {
 		rec := h.records[slot]
 		if holder == h.cfg.Name || h.members[holder] == nil || h.slots[slot] != nil || h.releasing[slot] != nil {
 			continue
@@ -270,10 +270,10 @@
 	}
 }
 
-// changeSlots writes slots' records, one transaction at a time. What was
+// writeSlotRecords writes slots' records, one transaction at a time. What was
 // written for certain is passed on; anything else is tried again by the loop,
 // once the replica shows the records as they are.
-func (h *Holder) changeSlots(u transport.Urgency, changes []bookkeeping.SlotChange, written func()) {
+func (h *Holder) writeSlotRecords(u transport.Urgency, changes []bookkeeping.SlotChange, written func()) {
 	if len(changes) == 0 {
 		return
 	}
@@ -283,18 +283,18 @@
 		if err == nil && written != nil {
 			h.tell(written)
 		}
-		pause(h.ctx, rosterEvery)
+		pause(h.ctx, rosterWriteInterval)
 		h.tell(func() { h.writingSlots = false })
 	}()
 }
 
-// rosterEvery is how often rosters are written at most; machines that come up
+// rosterWriteInterval is how often rosters are written at most; machines that come up
 // at about the same time share a write.
-const rosterEvery = 250 * time.Millisecond
+const rosterWriteInterval = 250 * time.Millisecond
 
-// enroll puts machines into their slots' rosters before tasks are started on
+// updateRosters puts machines into their slots' rosters before tasks are started on
 // them, and takes those out that are gone.
-func (h *Holder) enroll() {
+func (h *Holder) updateRosters() {
 	if h.writingSlots || !h.session.Valid() {
 		return
 	}
@@ -328,9 +328,9 @@
 		}
 		maps.DeleteFunc(r, func(n uint64, _ bool) bool { return !registered[n] })
 		changes = append(changes, bookkeeping.SlotChange{Slot: s.slot, Seen: rec.Version,
-			To: bookkeeping.Slot{Holder: rec.Holder, Incarnation: rec.Incarnation, Term: rec.Term, Roster: r, Listed: !s.unlisted}})
+			To: bookkeeping.Slot{Holder: rec.Holder, Incarnation: rec.Incarnation, Term: rec.Term, Roster: r, Listed: !s.rosterIncomplete}})
 	}
-	h.changeSlots(transport.Ordinary, changes, func() {
+	h.writeSlotRecords(transport.Ordinary, changes, func() {
 		for s, r := range rosters {
 			if h.slots[s.slot] == s {
 				s.roster = r
@@ -338,38 +338,38 @@
 		}
 		for _, w := range h.byID {
 			if r := rosters[w.slot]; r != nil && h.slots[w.slot.slot] == w.slot {
-				h.touch(w)
+				h.markChanged(w)
 			}
 		}
 	})
 }
 
-// foundAfter is how long a machine may report before it is registered by its
+// registerFoundAfter is how long a machine may report before it is registered by its
 // holder: the leader that rented it is about to do so itself.
-const foundAfter = 5 * time.Second
+const registerFoundAfter = 5 * time.Second
 
 // registerFound registers machines that report and that no record names: a
 // rental may be carried out late, or its leader may have ended.
 func (h *Holder) registerFound() {
-	if h.finding {
+	if h.registeringFound {
 		return
 	}
 	var fresh []bookkeeping.Machine
 	now := time.Now()
 	for _, w := range h.byID {
-		if w.verified && h.registry[w.id] == nil && now.Sub(w.firstHeard) > foundAfter {
-			fresh = append(fresh, bookkeeping.Machine{ID: w.id, Type: w.rig, Zone: w.zone, Spot: w.spot, RentedMs: now.UnixMilli()})
+		if w.verified && h.registry[w.id] == nil && now.Sub(w.firstHeard) > registerFoundAfter {
+			fresh = append(fresh, bookkeeping.Machine{ID: w.id, Type: w.machineType, Zone: w.zone, Spot: w.spot, RentedMs: now.UnixMilli()})
 		}
 	}
 	if len(fresh) == 0 {
 		return
 	}
 	slog.Info("unexpected machines", "count", len(fresh))
-	h.finding = true
+	h.registeringFound = true
 	batches := map[string]bookkeeping.RentalBatch{}
 	for _, l := range bookkeeping.RentalBatches(fresh) {
-		h.found++
-		batches[fmt.Sprintf("h-%d-%d", h.session.Term(), h.found)] = l
+		h.foundBatches++
+		batches[fmt.Sprintf("h-%d-%d", h.session.Term(), h.foundBatches)] = l
 	}
 	go func() {
 		for name, l := range batches {
@@ -378,6 +378,6 @@
 			}
 		}
 		pause(h.ctx, time.Second) // they come back through the replica
-		h.tell(func() { h.finding = false })
+		h.tell(func() { h.registeringFound = false })
 	}()
 }
--- a/internal/coordination/standing.go
+++ b/internal/coordination/standing.go
@@ -9,8 +9,8 @@
 
 // How jobs stand, as their owner tells users and other parts of the controller.
 
-// standing is what a controller knows of a job.
-type standing struct {
+// jobStanding is what a controller knows of a job.
+type jobStanding struct {
 	job     *bookkeeping.Job
 	running int
 	// reason and startsIn tell why no task runs and until when, if known.
@@ -30,14 +30,14 @@
 }
 
 // Status is what this controller knows of a job, nil if nothing.
-func (o *Owner) Status(ctx context.Context, id string) *standing {
-	st, _ := askFor(ctx, &o.actor, func() *standing {
+func (o *Owner) Status(ctx context.Context, id string) *jobStanding {
+	st, _ := askFor(ctx, &o.actor, func() *jobStanding {
 		js := o.jobs[id]
 		if js == nil {
 			return nil
 		}
-		st := &standing{job: js.job}
-		if _, st.running = o.placed(id); st.running == 0 && !js.job.Final() {
+		st := &jobStanding{job: js.job}
+		if _, st.running = o.countTasks(id); st.running == 0 && !js.job.Final() {
 			reason, in := o.why(js, time.Now())
 			st.reason, st.startsIn = reason, seconds(in)
 		}
@@ -46,8 +46,8 @@
 	return st
 }
 
-// placed is how many of a job's tasks are on machines, and run.
-func (o *Owner) placed(id string) (placed, running int) {
+// countTasks is how many of a job's tasks are on machines, and run.
+func (o *Owner) countTasks(id string) (placed, running int) {
 	for _, list := range o.board.Tasks[id] {
 		for _, i := range list {
 			if !i.Exited() {
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -32,7 +32,7 @@
 			h.Report(report(2, 7, protocol.NewToken(7, w.seq)))
 		},
 		"the lease lapses": func(h *Holder, w *worker, lease time.Duration) {
-			w.lastAnswer, w.answered = time.Now().Add(-lease-time.Second), time.Time{}
+			w.lastAnswer, w.unackedAnswer = time.Now().Add(-lease-time.Second), time.Time{}
 			w.slot.adopted = w.lastAnswer
 			h.told()
 			if !w.lapsed {
@@ -43,8 +43,8 @@
 			w.entries["wk-1/0"].state = protocol.TaskRunning
 			w.seq++
 			h.Report(report(1, 7, protocol.NewToken(7, w.seq)))
-			if h.view(w).Tasks[0].Cause != board.CauseLost {
-				t.Errorf("it counts as one that is about to run: %+v", h.view(w))
+			if h.machineView(w).Tasks[0].Cause != board.CauseLost {
+				t.Errorf("it counts as one that is about to run: %+v", h.machineView(w))
 			}
 		},
 	} {
@@ -106,7 +106,7 @@
 		if w.ticket != 50 || w.entries["wk-1/0"] == nil {
 			t.Errorf("it is taken at its word: %+v", w)
 		}
-		if !h.startable(w) || time.Since(w.entitled()) > 0 {
+		if !h.startable(w) || time.Since(w.lastPossibleRenewal()) > 0 {
 			t.Errorf("what may be a copy keeps the machine from being used, or is taken not to be heard: %+v", w)
 		}
 		// That it shows the token proves that it began anew: what ran there is gone.
@@ -201,7 +201,7 @@
 		h.types = map[string]protocol.MachineType{"small": {Name: "small", Cores: 8, Accels: 2, RAM: 64}}
 		w.ack = ackState{}
 		ask := func(term uint64) string {
-			return h.start(&AskArgs{Caller: "c0", Window: 4}, Start{Task: "wk-2/0", Attempt: 9, Machine: w.id, Term: term}, time.Now())
+			return h.admitStart(&AskArgs{Caller: "c0", Window: 4}, Start{Task: "wk-2/0", Attempt: 9, Machine: w.id, Term: term}, time.Now())
 		}
 		if why := ask(6); why == "" || w.entries["wk-2/0"] != nil {
 			t.Error("taken on under a later term")
@@ -240,8 +240,8 @@
 func TestSlotsTakenForALostSessionAreNotActedFor(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		before := h.sessionsLost
-		h.reset()
-		h.claimed([]bookkeeping.Claim{{Slot: 3}}, 8, before)
+		h.dropAllSlots()
+		h.claimsTaken([]bookkeeping.Claim{{Slot: 3}}, 8, before)
 		if len(h.slots) != 0 || h.adopting {
 			t.Errorf("held: %v", h.slots)
 		}
@@ -325,15 +325,15 @@
 		h.Report(report(1, 5, protocol.NewToken(7, 1)))
 		h.told()
 		asked := FeedArgs{Caller: "c1", Incarnation: h.session.Term(), Since: 1}
-		if r := h.summary(asked); !r.Entitled || len(r.Slots) != 1 || len(r.Machines) != 1 || r.Version == asked.Since {
+		if r := h.newsSince(asked); !r.Entitled || len(r.Slots) != 1 || len(r.Machines) != 1 || r.Version == asked.Since {
 			t.Fatalf("%+v", r)
 		}
-		h.session.until.Store(0)
-		if r := h.summary(asked); r.Entitled || r.Valid || len(r.Slots)+len(r.Machines)+len(r.Gone) != 0 || r.Version != asked.Since || r.Incarnation != asked.Incarnation {
+		h.session.validUntil.Store(0)
+		if r := h.newsSince(asked); r.Entitled || r.Valid || len(r.Slots)+len(r.Machines)+len(r.Gone) != 0 || r.Version != asked.Since || r.Incarnation != asked.Incarnation {
 			t.Errorf("%+v", r)
 		}
 		asked.Incarnation = 1 // of a former session
-		if r := h.summary(asked); r.Full || r.Incarnation != 1 {
+		if r := h.newsSince(asked); r.Full || r.Incarnation != 1 {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("stops %v", got)
 		}
 		w := h.byID["host-000004"]
-		w.busy = true // a direct command is under way, and stays so
+		w.commandInFlight = true // a direct command is under way, and stays so
 		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, token: protocol.NewToken(7, w.seq)}
 		under := protocol.NewToken(7, w.seq)
 		over := *h.jobs["wk-1"]
@@ -128,7 +128,7 @@
 		h.moratoriumPeers = []MoratoriumCaller{says}
 		h.watermark = membership.NewWatermark([]string{"c1"})
 		h.synced(time.Now())
-		lasts := func(d time.Duration) { h.session.until.Store(int64(time.Since(h.session.base) + d)) }
+		lasts := func(d time.Duration) { h.session.validUntil.Store(int64(time.Since(h.session.base) + d)) }
 		lasts(3 * time.Second)
 		h.members["c1"] = &bookkeeping.Member{Generation: bookkeeping.Generation}
 		live := func(d time.Duration) {
@@ -216,7 +216,7 @@
 func TestAYoungProcessIsBoundByTheOneBefore(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, _ *heldSlot) {
 		owed := func(d time.Duration) *sayer { return &sayer{owed: OwedReply{ForMs: d.Milliseconds()}} }
-		silent := &sayer{err: errNotNow}
+		silent := &sayer{err: errRequestVoid}
 		for name, x := range map[string]struct {
 			siblings []MoratoriumCaller
 			free     time.Duration
--- a/internal/coordination/why.go
+++ b/internal/coordination/why.go
@@ -108,7 +108,7 @@
 	if w := o.window(); w != nil {
 		v.Owner = w.OwnerOfBlock(js.job, 0)
 	}
-	v.Placed, v.Running = o.placed(s.ID)
+	v.Placed, v.Running = o.countTasks(s.ID)
 	switch {
 	case js.job.State == protocol.Done:
 		v.Done = s.Tasks
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -11,15 +11,15 @@
 // What a holder knows of a machine, its worker and the tasks on it, and what time changes about them.
 
 type worker struct {
-	id, addr, rig, zone string
-	spot                bool
-	slot                *heldSlot
-	session, ticket     uint64
-	seq                 uint64
-	// shown is the highest token that it reported since its lease last surely ended; askedAfter
+	id, addr, machineType, zone string
+	spot                        bool
+	slot                        *heldSlot
+	session, ticket             uint64
+	seq                         uint64
+	// highestToken is the highest token that it reported since its lease last surely ended; askedAfter
 	// the ticket last heard when the direct command under way was sent.
-	shown      protocol.Token
-	askedAfter uint64
+	highestToken protocol.Token
+	ticketAtSend uint64
 	// restartToken was told to a worker that may have begun anew, and to nobody else; 0: none was.
 	restartToken protocol.Token
 	// verified: a report under this slot's term has come (invariant 3).
@@ -28,38 +28,38 @@
 	lastHeard  time.Time
 	reported   time.Time // when its last report came: direct answers count as heard, too
 	// lastAnswer is when the last 200 was given that it may have heard: all later ones are
-	// known not to have reached it. answered is that of the newest, with its token, of which
+	// known not to have reached it. unackedAnswer is that of the newest, with its token, of which
 	// nothing is known yet; see noteAck.
-	lastAnswer, answered time.Time
-	answeredWith         protocol.Token
-	ack                  ackState
+	lastAnswer, unackedAnswer time.Time
+	unackedAnswerToken        protocol.Token
+	ack                       ackState
 	// probeDue: it is to be asked, whatever is wanted of it; probed is when it last was.
 	probeDue bool
 	probedAt time.Time
 	// lapsed: the lease of session lapsedIn and all before surely ended.
-	lapsedIn uint64
-	lapsed   bool
-	notice   bool
-	entries  map[string]*entry
-	images   []image // most recently used last
-	ready    map[string]bool
-	busy     bool // a direct command is under way
+	lapsedIn        uint64
+	lapsed          bool
+	reclaimNotice   bool
+	entries         map[string]*entry
+	cachedImages    []image // most recently used last
+	readyImages     map[string]bool
+	commandInFlight bool // a direct command is under way
 	// openStarts are direct commands to start that were not answered, by task: they may still be
 	// carried out.
-	openStarts   map[string]openStart
-	startsSent   bool // the direct command under way, or the last one, carries starts
-	settled      bool // nothing is wanted of it until something changes
-	holdOff      time.Time
-	drainTill    time.Time
-	drainWish    uint64 // since which it is kept free without a break
-	vacates      bool   // what is on it is to be moved elsewhere
-	unresponsive bool
-	reportsLost  bool            // it answers directly, but its reports don't come
-	errorsBy     map[string]bool // jobs that failed here since the last success
-	soundAt      time.Time       // when something last succeeded
-	doubted      time.Time       // since when it is left alone, not to be told yet why
-	suspect      bool
-	version      uint64
+	openStarts       map[string]openStart
+	commandHasStarts bool // the direct command under way, or the last one, carries starts
+	settled          bool // nothing is wanted of it until something changes
+	backoffUntil     time.Time
+	drainUntil       time.Time
+	drainWish        uint64 // since which it is kept free without a break
+	vacating         bool   // what is on it is to be moved elsewhere
+	unresponsive     bool
+	reportsLost      bool            // it answers directly, but its reports don't come
+	failedJobs       map[string]bool // jobs that failed here since the last success
+	lastSuccess      time.Time       // when something last succeeded
+	quarantinedSince time.Time       // since when it is left alone, not to be told yet why
+	suspect          bool
+	version          uint64
 }
 
 type image struct {
@@ -77,20 +77,20 @@
 	cause   string
 	saved   bool
 	// token is that of the start command, as long as its outcome is open.
-	token protocol.Token
-	until time.Time // end of a reservation, of waiting for room, or of a place that is kept
-	ahead bool      // reserved before there is room for it
-	stop  bool
-	grace float64
-	sent  time.Time // when the last stop or forget was sent
+	token         protocol.Token
+	until         time.Time // end of a reservation, of waiting for room, or of a place that is kept
+	reservedAhead bool      // reserved before there is room for it
+	stopRequested bool
+	grace         float64
+	lastSentAt    time.Time // when the last stop or forget was sent
 	// unanswered: the last direct command for it was, so that answers to reports repeat it.
-	unanswered bool
-	reap       bool
-	keep       bool // once it is forgotten its place is reserved for the same attempt
-	// ran is since when it runs, if it was seen to begin; proven that it runs
+	unanswered      bool
+	forgetRequested bool
+	keepRoom        bool // once it is forgotten its place is reserved for the same attempt
+	// runningSince is since when it runs, if it was seen to begin; proven that it runs
 	// for long enough to show that it can.
-	ran    time.Time
-	proven bool
+	runningSince time.Time
+	proven       bool
 }
 
 // openStart is a direct command to start an attempt of a task whose outcome is not known.
@@ -116,17 +116,17 @@
 
 // reconcileWorker finds out what time has changed about a worker, and has it do what is wanted.
 func (h *Holder) reconcileWorker(w *worker, now time.Time, lease time.Duration) {
-	if !w.lapsed && now.Sub(w.entitled()) > lease {
-		h.lapse(w)
+	if !w.lapsed && now.Sub(w.lastPossibleRenewal()) > lease {
+		h.markLapsed(w)
 	}
 	if w.lapsed && !w.verified && w.slot.ready && h.registry[w.id] == nil {
 		// Nobody registered it, and it never took a word of ours: mostly an old message
 		// of a machine that was returned. It was shown as silent for ever.
-		h.drop(w.id)
+		h.dropWorker(w.id)
 		return
 	}
 	h.expireOpenStarts(w, now)
-	if !w.doubted.IsZero() {
+	if !w.quarantinedSince.IsZero() {
 		h.judge(w)
 	}
 	h.noteResponsiveness(w, now)
@@ -139,15 +139,15 @@
 	}
 }
 
-// lapse takes in that a worker's lease surely ended, and with it all that was on its machine.
-func (h *Holder) lapse(w *worker) {
+// markLapsed takes in that a worker's lease surely ended, and with it all that was on its machine.
+func (h *Holder) markLapsed(w *worker) {
 	w.lapsed, w.lapsedIn = true, w.session
 	// Should it have begun anew: whatever it shows from now on is newer than all before.
-	w.shown, w.seq = 0, w.seq+1
+	w.highestToken, w.seq = 0, w.seq+1
 	for _, e := range w.entries {
-		w.dropEntry(e, time.Now(), !h.over(e.job))
+		w.dropEntry(e, time.Now(), !h.isJobOver(e.job))
 	}
-	h.touch(w)
+	h.markChanged(w)
 	slog.Info("lease lapsed", "machine", w.id)
 }
 
@@ -184,7 +184,7 @@
 		delete(w.openStarts, task)
 		if e := w.entries[task]; w.lapsed && e != nil && e.attempt == open.attempt {
 			delete(w.entries, task)
-			h.touch(w)
+			h.markChanged(w)
 		}
 	}
 }
@@ -193,13 +193,13 @@
 func (h *Holder) noteResponsiveness(w *worker, now time.Time) {
 	// While this controller answers nobody, nobody is silent: after an outage of the
 	// state service, a small fleet's machines were given back as lost, with their results.
-	answers := min(now.Sub(w.slot.adopted), now.Sub(h.invalid))
+	answers := min(now.Sub(w.slot.adopted), now.Sub(h.lastNotAnswering))
 	unheard := min(now.Sub(w.lastHeard), answers)
 	quiet := unheard > h.unresponsiveAfter() || w.ack.isOverdue(now, h.unresponsiveAfter())
 	mute := !quiet && min(now.Sub(w.reported), answers) > h.unresponsiveAfter()
 	if quiet != w.unresponsive || mute != w.reportsLost {
 		w.unresponsive, w.reportsLost = quiet, mute
-		h.touch(w)
+		h.markChanged(w)
 	}
 	if !quiet && !w.lapsed && unheard > 2*h.cfg.ReportEvery() {
 		h.probeWorker(w) // it may be that its reports alone don't come
@@ -211,15 +211,15 @@
 func (h *Holder) reconcileEntries(w *worker, now time.Time) {
 	for name, e := range w.entries {
 		if h.changedJobs[e.job] {
-			e.sent, w.settled = time.Time{}, false // what was sent may no longer be what is wanted
+			e.lastSentAt, w.settled = time.Time{}, false // what was sent may no longer be what is wanted
 		}
 		if (e.state == board.TaskReserved || e.state == board.TaskQueued) && now.After(e.until) {
 			delete(w.entries, name)
-			h.touch(w)
+			h.markChanged(w)
 		}
 		if e.exited() && !e.until.IsZero() && now.After(e.until) {
 			e.until = time.Time{}
-			h.touch(w)
+			h.markChanged(w)
 		}
 	}
 }
