--- a/internal/coordination/acks.go
+++ b/internal/coordination/acks.go
@@ -118,9 +118,9 @@
 			commands = append(commands, stopCommand(t.Task, t.Attempt, 0))
 		}
 	}
-	w.seq++
-	w.restartToken = protocol.NewToken(w.slot.term, w.seq)
-	w.seq++ // nothing else is sent under that token
+	w.tokenSeq++
+	w.restartToken = protocol.NewToken(w.slot.term, w.tokenSeq)
+	w.tokenSeq++ // nothing else is sent under that token
 	w.lastAnswer = time.Now()
 	return http.StatusOK, protocol.ReportAnswer{Token: w.restartToken, Commands: commands}
 }
@@ -135,7 +135,7 @@
 	now := time.Now()
 	w.session, w.ticket, w.highestToken, w.lapsedIn, w.restartToken = rep.Session, rep.Ticket-1, 0, 0, 0
 	w.lastAnswer, w.unackedAnswer = now, time.Time{}
-	w.seq++
-	w.ack.requireAck(protocol.NewToken(w.slot.term, w.seq), now)
+	w.tokenSeq++
+	w.ack.requireAck(protocol.NewToken(w.slot.term, w.tokenSeq), now)
 	h.markChanged(w)
 }
--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -18,9 +18,9 @@
 	"daledyke/internal/transport"
 )
 
-// holderOf is a holder with the one slot that a machine is in, taken a moment ago under a
+// newTestHolder is a holder with the one slot that a machine is in, taken a moment ago under a
 // term; what ran there is not known yet.
-func holderOf(ctx context.Context, c *config.Config, dial transport.Dialer, term uint64, machine string) (*Holder, *heldSlot) {
+func newTestHolder(ctx context.Context, c *config.Config, dial transport.Dialer, term uint64, machine string) (*Holder, *heldSlot) {
 	h := NewHolder(ctx, c, &Session{base: time.Now()}, nil, transport.NewWorkers(dial, c.ToWorkers()))
 	h.session.validUntil.Store(int64(time.Hour))
 	s := &heldSlot{slot: h.slotOf(machine), term: term, adopted: time.Now(), ready: true, roster: bookkeeping.Roster{protocol.MachineNumber(machine): true},
@@ -31,7 +31,7 @@
 	return h, s
 }
 
-func noWorker(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+func refuseDial(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 
 // serveWorker has a machine take direct commands, which a holder reaches by dial, until end.
 func serveWorker(do http.HandlerFunc) (ctx context.Context, dial transport.Dialer, end func()) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// told has the holder do what it was told, and look around; it follows the records meanwhile.
-func (h *Holder) told() {
+// runQueuedAndTick has the holder do what it was runQueuedAndTick, and look around; it follows the records meanwhile.
+func (h *Holder) runQueuedAndTick() {
 	h.synced(time.Now())
 	synctest.Wait()
 	for len(h.inbox) > 0 {
@@ -57,7 +57,7 @@
 	h.tick()
 }
 
-func report(session, ticket uint64, token protocol.Token) *protocol.Report {
+func testReport(session, ticket uint64, token protocol.Token) *protocol.Report {
 	return &protocol.Report{Machine: "host-000004", Addr: "worker-x:1", Type: "small", Zone: "a", Session: session, Ticket: ticket, Token: token}
 }
 
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		h, s := holderOf(ctx, c, noWorker, 7, "host-000004")
+		h, s := newTestHolder(ctx, c, refuseDial, 7, "host-000004")
 		play(t, c, h, s)
 	})
 }
@@ -78,20 +78,20 @@
 // A new holder answers a machine's first report, and then hears nothing of it. The machine
 // may have heard the answer and run on for a lease from then on; all others are surely empty
 // a lease after the slot was taken. Once it was taken for empty with them.
-func TestAnAnswerThatMayHaveBeenHeardCounts(t *testing.T) {
+func TestPossiblyReceivedAnswerExtendsLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		lease := config.Surely(c.WorkerLease())
 		time.Sleep(6 * time.Second)
-		if status, _ := h.Report(report(3, 50, protocol.NewToken(6, 9))); status != http.StatusOK {
+		if status, _ := h.Report(testReport(3, 50, protocol.NewToken(6, 9))); status != http.StatusOK {
 			t.Fatal(status)
 		}
 		time.Sleep(lease - 2*time.Second)
-		if h.told(); s.complete {
+		if h.runQueuedAndTick(); s.complete {
 			t.Error("the machine may still run what it ran")
 		}
 		time.Sleep(3 * time.Second)
-		h.told()
-		if h.told(); !s.complete {
+		h.runQueuedAndTick()
+		if h.runQueuedAndTick(); !s.complete {
 			t.Error("no lease lasts as long as that")
 		}
 	})
@@ -99,12 +99,12 @@
 
 // A machine whose reports come and that hears no answer is waited for no longer than its
 // answers could have renewed its lease: not for as long as its reports come.
-func TestAnswersInVainRenewNothing(t *testing.T) {
+func TestUnreceivedAnswersDoNotRenewLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		for n := range uint64(40) {
-			h.Report(report(3, 50+n, protocol.NewToken(6, 9)))
+			h.Report(testReport(3, 50+n, protocol.NewToken(6, 9)))
 			time.Sleep(3 * time.Second)
-			if h.told(); s.complete {
+			if h.runQueuedAndTick(); s.complete {
 				if now, least := time.Since(s.adopted), c.WorkerLease(); now < least || now > 3*least {
 					t.Errorf("complete after %v", now)
 				}
@@ -116,17 +116,17 @@
 }
 
 // A machine whose new session a direct command told of first has its lease ahead of it.
-func TestANewSessionHasItsLease(t *testing.T) {
+func TestNewSessionGetsFullLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
-		h.Report(report(1, 5, protocol.NewToken(7, 1)))
+		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
 		time.Sleep(3 * c.WorkerLease())
-		h.told()
-		w := h.byID["host-000004"]
-		h.commandAnswered(w, protocol.Orders{}, report(2, 9, protocol.NewToken(7, 1)), false, nil)
-		if h.told(); w.lapsed || w.session != 2 {
+		h.runQueuedAndTick()
+		w := h.workersByID["host-000004"]
+		h.commandAnswered(w, protocol.Orders{}, testReport(2, 9, protocol.NewToken(7, 1)), false, nil)
+		if h.runQueuedAndTick(); w.lapsed || w.session != 2 {
 			t.Errorf("%+v", w)
 		}
-		if status, _ := h.Report(report(2, 10, protocol.NewToken(7, 1))); status != http.StatusOK || s.term != 7 {
+		if status, _ := h.Report(testReport(2, 10, protocol.NewToken(7, 1))); status != http.StatusOK || s.term != 7 {
 			t.Error("it is turned away", status)
 		}
 	})
@@ -135,34 +135,34 @@
 // A machine that began anew, unseen, is first heard by its answer to a direct command, which starts
 // a task there. Its lease counts from when it began, which may be a moment ago: not from what was
 // answered before.
-func TestAMachineThatBeganAnewHasItsLease(t *testing.T) {
+func TestRestartedMachineGetsFullLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
-		h.Report(report(2, 5, protocol.NewToken(7, 1)))
-		h.told()
-		w := h.byID["host-000004"]
+		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
+		h.runQueuedAndTick()
+		w := h.workersByID["host-000004"]
 		time.Sleep(7 * time.Second)
 		w.commandInFlight, w.ticketAtSend, w.ack = true, w.ticket, ackState{}
 		o := protocol.Orders{Token: protocol.NewToken(7, 9), Session: 2, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3}}}
-		w.seq = 9
+		w.tokenSeq = 9
 		// Refused, since its session is another: the next one is sent to that.
-		h.commandAnswered(w, o, report(1, 2, 0), false, nil)
+		h.commandAnswered(w, o, testReport(1, 2, 0), false, nil)
 		if w.session != 1 || h.startable(w) {
 			t.Errorf("it is used before it showed that it hears: %+v", w)
 		}
-		w.seq++
-		o = protocol.Orders{Token: protocol.NewToken(7, w.seq), Session: 1, Commands: o.Commands}
+		w.tokenSeq++
+		o = protocol.Orders{Token: protocol.NewToken(7, w.tokenSeq), Session: 1, Commands: o.Commands}
 		w.commandInFlight, w.ticketAtSend = true, w.ticket
-		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, token: o.Token}
-		running := report(1, 3, o.Token)
+		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, startToken: o.Token}
+		running := testReport(1, 3, o.Token)
 		running.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 3, State: protocol.TaskRunning}}
 		h.commandAnswered(w, o, running, true, nil)
 		time.Sleep(c.WorkerLease() - time.Second)
-		if h.told(); w.lapsed || w.entries["wk-1/0"] == nil {
+		if h.runQueuedAndTick(); w.lapsed || w.entries["wk-1/0"] == nil {
 			t.Errorf("taken for gone: %+v", w)
 		}
 		time.Sleep(2 * time.Second)
-		if h.told(); !w.lapsed {
+		if h.runQueuedAndTick(); !w.lapsed {
 			t.Error("no lease lasts as long as that")
 		}
 	})
@@ -171,28 +171,28 @@
 // A command that was never sent, for want of a connection, says nothing of its machine: what it
 // was to start waits on, and the machine is not doubted. (Once many machines that were silent
 // together held all connections, and healthy ones were held for deaf.)
-func TestWhatWasNeverSentSaysNothing(t *testing.T) {
+func TestUnsentCommandRequiresNoAck(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
-		h.Report(report(1, 5, protocol.NewToken(7, 1)))
-		h.told()
-		w := h.byID["host-000004"]
+		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
+		h.runQueuedAndTick()
+		w := h.workersByID["host-000004"]
 		w.ack, w.commandInFlight = ackState{}, true
 		o := protocol.Orders{Token: protocol.NewToken(7, 9), Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3}}}
-		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, token: o.Token}
+		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, startToken: o.Token}
 		h.commandAnswered(w, o, nil, false, fmt.Errorf("%w: no connection", transport.ErrRefused))
 		if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskQueued || w.ack.awaitsAck() || w.commandInFlight {
 			t.Errorf("never sent: %+v of %+v", e, w)
 		}
-		h.Report(report(1, 6, protocol.NewToken(7, 1)))
-		w.commandInFlight, w.seq = true, 9
-		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, token: o.Token}
+		h.Report(testReport(1, 6, protocol.NewToken(7, 1)))
+		w.commandInFlight, w.tokenSeq = true, 9
+		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, startToken: o.Token}
 		h.commandAnswered(w, o, nil, false, fmt.Errorf("%w: no answer", transport.ErrUnknown))
 		if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskStarting || !w.ack.awaitsAck() {
 			t.Errorf("unanswered: %+v of %+v", e, w)
 		}
 		// It may be carried out late, until the machine has heard of a higher token.
 		h.jobs["wk-1"] = pendingJob("wk-1")
-		if _, body := h.Report(report(1, 7, protocol.NewToken(7, 1))); body.(protocol.ReportAnswer).Token <= o.Token {
+		if _, body := h.Report(testReport(1, 7, protocol.NewToken(7, 1))); body.(protocol.ReportAnswer).Token <= o.Token {
 			t.Errorf("the next answer fences nothing: %+v after %d", body, o.Token)
 		}
 	})
@@ -202,24 +202,24 @@
 // next holder knows what runs there by then. What was sent before and comes only now has a higher
 // session, and is older all the same, as its token shows: it doesn't prove that anything ended.
 // Once it did, and the tasks were started again elsewhere beside those that ran on.
-func TestACopyFromBeforeAMachineBeganAnewEndsNothing(t *testing.T) {
+func TestStaleCopyAfterRestartDropsNoTask(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
-		h.Report(report(1, 3, protocol.NewToken(6, 2)))
-		h.told()
-		w := h.byID["host-000004"]
-		running := report(1, 4, protocol.NewToken(7, w.seq))
+		h.Report(testReport(1, 3, protocol.NewToken(6, 2)))
+		h.runQueuedAndTick()
+		w := h.workersByID["host-000004"]
+		running := testReport(1, 4, protocol.NewToken(7, w.tokenSeq))
 		running.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 1, State: protocol.TaskRunning}}
 		if status, _ := h.Report(running); status != http.StatusOK || w.entries["wk-1/0"] == nil {
 			t.Fatal("it is not believed", status)
 		}
 		answered := w.lastPossibleRenewal()
 		time.Sleep(time.Second)
-		for _, old := range []*protocol.Report{report(3, 50, protocol.NewToken(5, 9)), report(1, 50, protocol.NewToken(5, 9))} {
+		for _, old := range []*protocol.Report{testReport(3, 50, protocol.NewToken(5, 9)), testReport(1, 50, protocol.NewToken(5, 9))} {
 			// The answer, which only a worker that began anew once more would hear, tells it a token,
 			// and its lease counts as renewed; nothing is started by it, and nothing else follows.
 			_, body := h.Report(old)
-			if len(carried(body, protocol.VerbStart)) != 0 || w.entries["wk-1/0"] == nil || w.session != 1 || w.ticket != 4 || !h.startable(w) || w.lastPossibleRenewal().Before(answered) {
+			if len(carriedTasks(body, protocol.VerbStart)) != 0 || w.entries["wk-1/0"] == nil || w.session != 1 || w.ticket != 4 || !h.startable(w) || w.lastPossibleRenewal().Before(answered) {
 				t.Errorf("session %d: %+v, %+v", old.Session, body, w)
 			}
 		}
@@ -230,13 +230,13 @@
 		}
 		// And so does one that comes after a session that ended, also where the machine began
 		// anew unseen: whatever it shows from then on is newer than all before.
-		shown := w.seq
+		shown := w.tokenSeq
 		time.Sleep(config.Surely(c.WorkerLease()) + time.Second)
-		if h.told(); !w.lapsed {
+		if h.runQueuedAndTick(); !w.lapsed {
 			t.Fatal("no lease lasts as long as that")
 		}
 		w.lastHeard = time.Now() // as one that was answered in vain
-		if status, body := h.Report(report(2, 3, 0)); status != http.StatusOK || body.(protocol.ReportAnswer).Token <= protocol.NewToken(7, shown) {
+		if status, body := h.Report(testReport(2, 3, 0)); status != http.StatusOK || body.(protocol.ReportAnswer).Token <= protocol.NewToken(7, shown) {
 			t.Error("it is not heard again under a token of its own", status, body)
 		}
 	})
@@ -244,17 +244,17 @@
 
 // A machine whose reports don't come, but which answers directly, is alive: it is not given back
 // with what it runs, and gets nothing new, since its lease may end.
-func TestAMuteMachineIsNeitherUsedNorLost(t *testing.T) {
+func TestMachineWithLostReportsIsNeitherUsedNorReturned(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
-		h.Report(report(1, 5, protocol.NewToken(7, 1)))
-		h.told()
-		w := h.byID["host-000004"]
+		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
+		h.runQueuedAndTick()
+		w := h.workersByID["host-000004"]
 		ticket, asked := uint64(5), 0
 		for begin := time.Now(); time.Since(begin) < c.WorkerLease()-time.Second; time.Sleep(250 * time.Millisecond) {
-			h.told()
+			h.runQueuedAndTick()
 			if w.probedAt.After(begin.Add(2*c.ReportEvery())) && time.Since(w.probedAt) < 250*time.Millisecond {
 				ticket, asked = ticket+1, asked+1
-				h.commandAnswered(w, protocol.Orders{Session: 1}, report(1, ticket, protocol.NewToken(7, w.seq)), true, nil)
+				h.commandAnswered(w, protocol.Orders{Session: 1}, testReport(1, ticket, protocol.NewToken(7, w.tokenSeq)), true, nil)
 			}
 			if since := time.Since(begin); w.unresponsive || h.machineView(w).Silent || since > h.unresponsiveAfter()+time.Second && h.startable(w) {
 				t.Fatalf("after %v: silent %v, usable %v", since, w.unresponsive, h.startable(w))
@@ -263,10 +263,10 @@
 		if asked < 2 || asked > 6 {
 			t.Errorf("asked %d times", asked)
 		}
-		if status, _ := h.Report(report(1, ticket+1, protocol.NewToken(7, w.seq))); status != http.StatusOK {
+		if status, _ := h.Report(testReport(1, ticket+1, protocol.NewToken(7, w.tokenSeq))); status != http.StatusOK {
 			t.Error("it is turned away", status)
 		}
-		if h.told(); w.reportsLost || w.unresponsive {
+		if h.runQueuedAndTick(); w.reportsLost || w.unresponsive {
 			t.Errorf("it is not heard again: %+v", w)
 		}
 	})
@@ -274,27 +274,27 @@
 
 // A machine that began anew, with numbers from the beginning, is asked once it was not heard for
 // two reports, and is known again by what it answers: not when its numbers have caught up.
-func TestAMachineThatBeganAnewIsAsked(t *testing.T) {
+func TestRestartedMachineIsProbed(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
-		h.Report(report(3, 50, protocol.NewToken(7, 1)))
-		h.told()
-		w, begin := h.byID["host-000004"], time.Now()
+		h.Report(testReport(3, 50, protocol.NewToken(7, 1)))
+		h.runQueuedAndTick()
+		w, begin := h.workersByID["host-000004"], time.Now()
 		for ticket := uint64(1); w.session == 3 && time.Since(begin) < c.WorkerLease(); ticket++ {
 			// It is told a token, in case it hears, and no more; what it says is not taken in.
-			if _, body := h.Report(report(1, ticket, 0)); len(carried(body, protocol.VerbStart)) != 0 || w.session != 3 || w.ticket != 50 {
+			if _, body := h.Report(testReport(1, ticket, 0)); len(carriedTasks(body, protocol.VerbStart)) != 0 || w.session != 3 || w.ticket != 50 {
 				t.Fatalf("it is taken at its word: %+v", w)
 			}
 			time.Sleep(time.Second)
-			h.told()
+			h.runQueuedAndTick()
 			if w.probedAt.After(begin.Add(2 * c.ReportEvery())) {
 				w.commandInFlight, w.ticketAtSend = true, w.ticket
-				h.commandAnswered(w, protocol.Orders{Session: 3}, report(1, ticket+1, 0), false, nil)
+				h.commandAnswered(w, protocol.Orders{Session: 3}, testReport(1, ticket+1, 0), false, nil)
 			}
 		}
 		if since := time.Since(begin); w.session != 1 || w.lapsed || since > h.unresponsiveAfter()+time.Second {
 			t.Errorf("after %v: %+v", since, w)
 		}
-		if status, _ := h.Report(report(1, 100, 0)); status != http.StatusOK {
+		if status, _ := h.Report(testReport(1, 100, 0)); status != http.StatusOK {
 			t.Error("it is turned away", status)
 		}
 	})
@@ -302,9 +302,9 @@
 
 // That a holder's machines report elsewhere is shown by messages that it has not heard, made since
 // it took the slot: not by copies of old ones. A version that doesn't tell is taken to have seen some.
-func TestStraysAreNoCopies(t *testing.T) {
+func TestCopiedReportsAreNotStrays(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
-		h.Report(report(2, 5, protocol.NewToken(7, 1)))
+		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
 		time.Sleep(5 * time.Second)
 		for _, c := range []struct {
 			say   string
@@ -335,30 +335,30 @@
 // A machine that left a command unanswered is asked once more soon after, so that what became of
 // the command is known before its next reports tell; one that leaves the question unanswered as
 // well is not asked over and over.
-func TestAnUnansweredCommandIsAskedAbout(t *testing.T) {
+func TestUnansweredCommandIsProbedOnce(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
-		h.Report(report(1, 5, protocol.NewToken(7, 1)))
-		h.told()
-		w := h.byID["host-000004"]
-		lost := protocol.Orders{Token: protocol.NewToken(7, w.seq), Session: 1, Commands: []protocol.Command{{Verb: protocol.VerbStop, Task: "wk-1/0", Attempt: 1}}}
+		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
+		h.runQueuedAndTick()
+		w := h.workersByID["host-000004"]
+		lost := protocol.Orders{Token: protocol.NewToken(7, w.tokenSeq), Session: 1, Commands: []protocol.Command{{Verb: protocol.VerbStop, Task: "wk-1/0", Attempt: 1}}}
 		h.commandAnswered(w, lost, nil, false, errors.New("no answer"))
 		if !w.ack.awaitsAck() || !w.probeDue {
 			t.Fatalf("nothing is asked: %+v", w)
 		}
-		was := w.seq
+		was := w.tokenSeq
 		for range 8 { // the rest is what the actor does
 			time.Sleep(250 * time.Millisecond)
-			h.told()
+			h.runQueuedAndTick()
 		}
-		if w.seq == was || w.probeDue {
+		if w.tokenSeq == was || w.probeDue {
 			t.Errorf("it was not asked after 2 s: %+v", w)
 		}
 		w.commandInFlight = false
-		h.commandAnswered(w, protocol.Orders{Token: protocol.NewToken(7, w.seq), Session: 1}, nil, false, errors.New("no answer"))
+		h.commandAnswered(w, protocol.Orders{Token: protocol.NewToken(7, w.tokenSeq), Session: 1}, nil, false, errors.New("no answer"))
 		if w.probeDue {
 			t.Error("it is asked at once again")
 		}
-		answer := report(1, 9, protocol.NewToken(7, w.seq))
+		answer := testReport(1, 9, protocol.NewToken(7, w.tokenSeq))
 		h.commandAnswered(w, protocol.Orders{Session: 1}, answer, true, nil)
 		if w.ack.awaitsAck() {
 			t.Error("its answer does not count")
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -55,7 +55,7 @@
 		touched[st.Machine] = true
 	}
 	for id := range touched {
-		if w := h.byID[id]; w != nil {
+		if w := h.workersByID[id]; w != nil {
 			h.markChanged(w)
 			h.sendCommands(w)
 		}
@@ -66,7 +66,7 @@
 
 // admitStart admits a task to a machine, or tells why not.
 func (h *Holder) admitStart(a *AskArgs, st Start, now time.Time) (refusal string) {
-	w := h.byID[st.Machine]
+	w := h.workersByID[st.Machine]
 	jobID, index, ok := protocol.SplitTask(st.Task)
 	if !ok || w == nil || h.slots[w.slot.slot] != w.slot {
 		return "not held here"
@@ -92,9 +92,9 @@
 		return "no room"
 	}
 	h.evict(w, st.Evict)
-	e := &entry{task: st.Task, job: jobID, index: index, attempt: st.Attempt, state: board.TaskQueued, until: now.Add(queueTimeout)}
+	e := &entry{task: st.Task, job: jobID, index: index, attempt: st.Attempt, state: board.TaskQueued, expiresAt: now.Add(queueTimeout)}
 	if st.Reserve {
-		e.state, e.until, e.reservedAhead = board.TaskReserved, now.Add(reservationLifetime), st.Ahead
+		e.state, e.expiresAt, e.reservedAhead = board.TaskReserved, now.Add(reservationLifetime), st.Ahead
 	}
 	w.entries[st.Task] = e
 	return ""
@@ -139,7 +139,7 @@
 
 // isOnOtherWorker tells whether a task may be on another machine of this holder's.
 func (h *Holder) isOnOtherWorker(w *worker, task string) bool {
-	for _, other := range h.byID {
+	for _, other := range h.workersByID {
 		if e := other.entries[task]; other != w && e != nil && !e.exited() && e.state != board.TaskReserved {
 			return true
 		}
@@ -151,8 +151,8 @@
 func (h *Holder) roomAfterEvictions(w *worker, st Start) protocol.Room {
 	room := h.freeRoom(w, true)
 	for _, name := range st.Evict {
-		if v := w.entries[name]; v != nil && !v.exited() && !v.unconfirmed() {
-			room = room.Add(h.need(v))
+		if victim := w.entries[name]; victim != nil && !victim.exited() && !victim.unconfirmed() {
+			room = room.Add(h.need(victim))
 		}
 	}
 	return room
@@ -161,13 +161,13 @@
 // evict has tasks make way, with the time that they need to save.
 func (h *Holder) evict(w *worker, tasks []string) {
 	for _, name := range tasks {
-		v := w.entries[name]
-		if v == nil || v.stopRequested {
+		victim := w.entries[name]
+		if victim == nil || victim.stopRequested {
 			continue
 		}
-		v.stopRequested = true
-		if vj := h.jobs[v.job]; vj != nil {
-			v.grace = vj.Spec.SaveS * 2
+		victim.stopRequested = true
+		if victimJob := h.jobs[victim.job]; victimJob != nil {
+			victim.graceS = victimJob.Spec.SaveS * 2
 		}
 	}
 }
@@ -183,7 +183,7 @@
 }
 
 func (h *Holder) handleStop(a *AskArgs, st Stop) {
-	w := h.byID[st.Machine]
+	w := h.workersByID[st.Machine]
 	if w == nil {
 		return
 	}
@@ -198,11 +198,11 @@
 	case st.Forget:
 		e.forgetRequested, e.keepRoom = true, st.Keep && e.exited()
 		if !e.keepRoom && e.exited() {
-			e.until = time.Time{}
+			e.expiresAt = time.Time{}
 		}
 	case e.state == board.TaskReserved || e.state == board.TaskQueued:
 		delete(w.entries, st.Task)
 	default:
-		e.stopRequested, e.grace = true, st.GraceS
+		e.stopRequested, e.graceS = true, st.GraceS
 	}
 }
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -45,7 +45,7 @@
 // has come.
 func (h *Holder) may(job string) bool {
 	h.confirmation(job, time.Now())
-	h.told()
+	h.runQueuedAndTick()
 	return h.confirmation(job, time.Now()).may
 }
 
@@ -72,7 +72,7 @@
 		}
 		siblings[1].away = false
 		time.Sleep(announceEvery)
-		h.told()
+		h.runQueuedAndTick()
 		if !h.may("wk-3") || !slices.Contains(siblings[1].knows, "wk-3") {
 			t.Error("not told though all know by now")
 		}
@@ -108,7 +108,7 @@
 		go func() {
 			done <- HolderRPC{h}.Announce(AnnounceArgs{Caller: "c1", Cancelled: []string{"wk-1"}}, &Nothing{})
 		}()
-		h.told()
+		h.runQueuedAndTick()
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 			}
 		}()
 		k := &Controller{holder: h}
-		asked := &jobStanding{job: pendingJob("wk-1")}
+		asked := &jobStatus{job: pendingJob("wk-1")}
 		if st, err := k.confirm(ctx, asked); err != nil || st.Status != protocol.Pending {
 			t.Fatalf("%+v, %v", st, err)
 		}
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -13,28 +13,28 @@
 	"daledyke/internal/protocol"
 )
 
-// asker is a user of one job who asks all controllers again and again, and several at a time. It
+// userClient is a user of one job who asks all controllers again and again, and several at a time. It
 // knows what had been answered when it asked, so that an answer that is older than that shows.
-type asker struct {
+type userClient struct {
 	w   *world
 	rng *rand.Rand
 	job *protocol.JobSpec
 	// accepted and final are what any answer said so far.
-	accepted bool
-	final    string
-	// ended is told when the job's last task has its result.
-	ended chan struct{}
+	accepted    bool
+	finalStatus string
+	// lastTaskDone is told when the job's last task has its result.
+	lastTaskDone chan struct{}
 }
 
-// knows is what any answer said so far.
-func (a *asker) knows() (accepted bool, final string) {
-	a.w.em.Rules(func(*history.Checker) { accepted, final = a.accepted, a.final })
+// latestAnswers is what any answer said so far.
+func (a *userClient) latestAnswers() (accepted bool, final string) {
+	a.w.em.Rules(func(*history.Checker) { accepted, final = a.accepted, a.finalStatus })
 	return accepted, final
 }
 
 // send makes one request of a controller.
-func (a *asker) send(node, method, path string, body any) {
-	accepted, final := a.knows()
+func (a *userClient) send(node, method, path string, body any) {
+	accepted, final := a.latestAnswers()
 	status, raw, err := a.w.call("user", method, "front-"+node+path, body, 5*time.Second)
 	if err != nil || status >= 429 {
 		return
@@ -56,29 +56,29 @@
 		a.w.t.Errorf("%s %s at %s: %s, though it had been called %s", method, path, node, st.Status, final)
 	}
 	a.w.em.Rules(func(r *history.Checker) {
-		if a.final == final || st.Status == a.final { // the rules know of one question at a time
+		if a.finalStatus == final || st.Status == a.finalStatus { // the rules know of one question at a time
 			r.Note(history.Event{At: a.w.em.Since(), Kind: kind, Job: a.job.ID, Code: status, Status: st.Status})
 		}
 		a.accepted = a.accepted || known
 		if st.Status == protocol.Done || st.Status == protocol.Cancelled {
-			a.final = st.Status
+			a.finalStatus = st.Status
 		}
 	})
 }
 
-func (a *asker) isAccepted() bool {
-	accepted, _ := a.knows()
+func (a *userClient) isAccepted() bool {
+	accepted, _ := a.latestAnswers()
 	return accepted
 }
 
-func (a *asker) isOver() bool {
-	_, final := a.knows()
+func (a *userClient) isOver() bool {
+	_, final := a.latestAnswers()
 	return final != ""
 }
 
 // burst asks every controller within some milliseconds, repeats the submission at one and, if it
 // is to be cancelled, does so at one; what comes first is drawn.
-func (a *asker) burst(cancel bool) {
+func (a *userClient) burst(cancel bool) {
 	var all []func()
 	for _, node := range a.w.names {
 		all = append(all, func() { a.send(node, http.MethodGet, "/v1/jobs/"+a.job.ID, nil) })
@@ -100,23 +100,23 @@
 	}
 }
 
-// live is the life of a user with one job: asked about right after it was accepted, cancelled or
+// run is the life of a user with one job: asked about right after it was accepted, cancelled or
 // at its end, and later.
-func (a *asker) live(cancelAt int) {
+func (a *userClient) run(cancelAt int) {
 	for a.send(a.w.names[a.rng.IntN(len(a.w.names))], http.MethodPost, "/v1/jobs", a.job); !a.isAccepted(); {
 		time.Sleep(time.Second)
 		a.send(a.w.names[a.rng.IntN(len(a.w.names))], http.MethodPost, "/v1/jobs", a.job)
 	}
-	a.burst(cancelAt == cancelsAtOnce)
+	a.burst(cancelAt == cancelAtOnce)
 	a.burst(false)
 	select {
-	case <-a.ended:
+	case <-a.lastTaskDone:
 	case <-time.After(3 * time.Minute):
 	}
-	a.burst(cancelAt == cancelsAtEnd)
+	a.burst(cancelAt == cancelAtEnd)
 	for range 8 {
 		time.Sleep(time.Duration(a.rng.IntN(400)) * time.Millisecond)
-		a.burst(cancelAt == cancelsAtEnd && !a.isOver())
+		a.burst(cancelAt == cancelAtEnd && !a.isOver())
 	}
 	for range 60 {
 		if a.isOver() {
@@ -130,15 +130,15 @@
 }
 
 const (
-	cancelsAtOnce = 1 + iota
-	cancelsAtEnd
+	cancelAtOnce = 1 + iota
+	cancelAtEnd
 )
 
 // Users ask all controllers at once, repeat what they sent and cancel, right after a job was
 // accepted and at the moment at which its last task ends; nobody then hears less than was told
 // before, in a calm deployment as well as where answers are lost, news come late, the state service
 // is slow or refuses one, and controllers end.
-func TestAnswersNeverGoBack(t *testing.T) {
+func TestAnswersNeverContradictEarlierOnes(t *testing.T) {
 	for name, troubles := range map[string]func(w *world, step func(string, ...string)){
 		"calm": func(*world, func(string, ...string)) {},
 		"news": func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
@@ -193,12 +193,12 @@
 					run := 5 + float64(n%7)
 					s := &protocol.JobSpec{ID: fmt.Sprintf("wk-%d", n+1), Class: "batch", Team: "free", Shape: protocol.Array, Priority: "normal", Tasks: 1,
 						Cores: 1, RAM: 1, Image: "img", ImageGB: 1, EstimateS: run}
-					a := &asker{w: w, rng: rand.New(rand.NewPCG(uint64(n), 7)), job: s, ended: make(chan struct{})}
+					a := &userClient{w: w, rng: rand.New(rand.NewPCG(uint64(n), 7)), job: s, lastTaskDone: make(chan struct{})}
 					w.upload(s, protocol.Seconds(run), 0, false)
-					w.em.Rules(func(*history.Checker) { ended[s.ID] = a.ended })
+					w.em.Rules(func(*history.Checker) { ended[s.ID] = a.lastTaskDone })
 					go func() {
 						time.Sleep(time.Duration(n) * 3 * time.Second)
-						a.live(n % 3)
+						a.run(n % 3)
 						if !a.isOver() {
 							t.Errorf("%s: nothing final is told", s.ID)
 						}
--- a/internal/coordination/blame.go
+++ b/internal/coordination/blame.go
@@ -67,7 +67,7 @@
 		return
 	}
 	h.opinions[job] = o
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if w.failedJobs[job] {
 			h.judge(w)
 		}
--- a/internal/coordination/cancelled_test.go
+++ b/internal/coordination/cancelled_test.go
@@ -59,7 +59,7 @@
 
 func (m *troubledWorker) snapshot() *protocol.Report {
 	m.ticket++
-	rep := report(m.session, m.ticket, m.token)
+	rep := testReport(m.session, m.ticket, m.token)
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		rep.Tasks = append(rep.Tasks, *m.tasks[name])
 	}
@@ -200,10 +200,10 @@
 // take has a holder take the machine's slot that knows what is in the records that are read.
 func (w *cancelWorld) take() {
 	w.term++
-	w.h, _ = holderOf(w.ctx, w.c, w.dial, w.term, troubledMachine)
+	w.h, _ = newTestHolder(w.ctx, w.c, w.dial, w.term, troubledMachine)
 	w.h.syncedAt = time.Time{}
 	w.h.watermark = membership.NewWatermark(nil)
-	w.h.types["small"] = protocol.MachineType{Name: "small", Cores: 8, RAM: 64}
+	w.h.machineTypes["small"] = protocol.MachineType{Name: "small", Cores: 8, RAM: 64}
 	w.h.adoptWindow(&bookkeeping.Window{Number: 1, Owners: []string{w.c.Name}, Assignment: []string{w.c.Name}})
 	for _, id := range w.jobs {
 		w.h.jobChanged(pendingJob(id))
@@ -284,7 +284,7 @@
 					rt.Fatalf("%s is started by who knows that it is cancelled", m.wronged)
 				}
 				if late != "" {
-					rt.Fatalf("%s runs %v after its user was told, records read %v before: %+v, known as %+v", late, time.Since(w.told[late]), time.Since(w.readTo), m, w.h.byID[troubledMachine])
+					rt.Fatalf("%s runs %v after its user was told, records read %v before: %+v, known as %+v", late, time.Since(w.told[late]), time.Since(w.readTo), m, w.h.workersByID[troubledMachine])
 				}
 			}
 			live(5 * time.Second)
@@ -316,13 +316,13 @@
 			live(4 * c.WorkerLease())
 			for _, id := range w.jobs {
 				if attempt++; w.told[id].IsZero() && !slices.Contains(m.running(), id) && !w.ask(id, attempt) {
-					rt.Fatalf("%s is not cancelled, and can't be started: %+v", id, w.h.byID[troubledMachine])
+					rt.Fatalf("%s is not cancelled, and can't be started: %+v", id, w.h.workersByID[troubledMachine])
 				}
 			}
 			live(2 * c.ReportEvery())
 			for _, id := range w.jobs {
 				if w.told[id].IsZero() && !slices.Contains(m.running(), id) {
-					rt.Fatalf("%s was not started: %+v", id, w.h.byID[troubledMachine])
+					rt.Fatalf("%s was not started: %+v", id, w.h.workersByID[troubledMachine])
 				}
 			}
 		})
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -24,7 +24,7 @@
 // freeRoom is the room left beside all that is or may be on the machine; queued
 // tells whether tasks that wait for room count too.
 func (h *Holder) freeRoom(w *worker, queued bool) protocol.Room {
-	t, ok := h.types[w.machineType]
+	t, ok := h.machineTypes[w.machineType]
 	if !ok {
 		return protocol.Room{}
 	}
@@ -50,7 +50,7 @@
 // that may not act as usual stops what nobody is to run any more, and no more: whoever is
 // entitled to a machine may, since such commands are fenced by the slot's term as all are, and
 // undo no others.
-func (h *Holder) desiredCommands(w *worker, now time.Time, acts bool) []protocol.Command {
+func (h *Holder) desiredCommands(w *worker, now time.Time, mayAct bool) []protocol.Command {
 	var out []protocol.Command
 	for _, e := range w.entries {
 		j := h.jobs[e.job]
@@ -58,13 +58,13 @@
 		switch {
 		case e.exited():
 			// A result is kept on the machine until it is recorded.
-			if acts && (e.forgetRequested || over || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.lastSentAt) > 2*time.Second {
+			if mayAct && (e.forgetRequested || over || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.lastSentAt) > 2*time.Second {
 				e.lastSentAt = now
 				out = append(out, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
 			}
 		case e.unconfirmed():
-		case over || acts && e.stopRequested:
-			grace := e.grace
+		case over || mayAct && e.stopRequested:
+			grace := e.graceS
 			if over {
 				grace = 0
 			}
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	if !acts {
+	if !mayAct {
 		return out
 	}
 	room := h.freeRoom(w, false)
@@ -140,7 +140,7 @@
 		stop(e.task, e.attempt) // it may have started since the report was sent
 	}
 	if fence {
-		w.seq++
+		w.tokenSeq++
 	}
 	return stops, true
 }
@@ -153,18 +153,18 @@
 	if w.commandInFlight || w.lapsed || w.session == 0 || now.Before(w.backoffUntil) || !h.entitled() || h.slots[w.slot.slot] != w.slot {
 		return
 	}
-	acts := h.session.Valid() && h.mayAnswer()
+	mayAct := h.session.Valid() && h.mayAnswer()
 	var cmds []protocol.Command
 	if w.verified {
-		if cmds = h.desiredCommands(w, now, acts); len(cmds) == 0 && !(acts && w.probeDue) {
-			w.settled = acts && h.isSettled(w)
+		if cmds = h.desiredCommands(w, now, mayAct); len(cmds) == 0 && !(mayAct && w.probeDue) {
+			w.settled = mayAct && h.isSettled(w)
 			return
 		}
-	} else if !acts {
+	} else if !mayAct {
 		return
 	}
-	w.seq++
-	orders := protocol.Orders{Token: protocol.NewToken(w.slot.term, w.seq), Session: w.session, Commands: cmds}
+	w.tokenSeq++
+	orders := protocol.Orders{Token: protocol.NewToken(w.slot.term, w.tokenSeq), Session: w.session, Commands: cmds}
 	w.noteStarts(orders, now.Add(commandLifetime(h.cfg)))
 	w.commandInFlight, w.ticketAtSend, w.probeDue, w.probedAt = true, w.ticket, false, now
 	h.markChanged(w)
@@ -186,7 +186,7 @@
 	w.commandHasStarts = false
 	for _, c := range o.Commands {
 		if c.Verb == protocol.VerbStart {
-			w.entries[c.Task].token = o.Token
+			w.entries[c.Task].startToken = o.Token
 			w.openStarts[c.Task] = openStart{c.Attempt, until}
 			w.commandHasStarts = true
 		}
@@ -205,7 +205,7 @@
 // startingEntries are the tasks that an order starts, as far as nothing else is known of them.
 func (w *worker) startingEntries(o protocol.Orders) (starting []*entry) {
 	for _, c := range o.Commands {
-		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.token == o.Token {
+		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.startToken == o.Token {
 			starting = append(starting, e)
 		}
 	}
@@ -238,17 +238,17 @@
 			starts = append(starts, e)
 		case e.exited() && e.forgetRequested:
 			commands = append(commands, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
-		case !e.exited() && e.stopRequested && !h.isJobOver(e.job) && (e.state != protocol.TaskFlushing || e.grace == 0):
-			commands = append(commands, stopCommand(e.task, e.attempt, e.grace))
+		case !e.exited() && e.stopRequested && !h.isJobOver(e.job) && (e.state != protocol.TaskFlushing || e.graceS == 0):
+			commands = append(commands, stopCommand(e.task, e.attempt, e.graceS))
 		}
 	}
 	if len(starts) == 0 || w.commandInFlight && w.commandHasStarts {
 		return commands
 	}
-	w.seq++
+	w.tokenSeq++
 	for _, e := range starts {
 		if h.mayRepeatStart(w, e, now) {
-			e.token = protocol.NewToken(w.slot.term, w.seq)
+			e.startToken = protocol.NewToken(w.slot.term, w.tokenSeq)
 			commands = append(commands, protocol.Command{Verb: protocol.VerbStart, Task: e.task, Attempt: e.attempt})
 		}
 	}
@@ -258,7 +258,7 @@
 // mayRepeatStart tells whether a task whose start was not answered is still to be started: by
 // what is known now, and for as long as it might have waited for room.
 func (h *Holder) mayRepeatStart(w *worker, e *entry, now time.Time) bool {
-	return h.usable(w) && !e.stopRequested && h.jobs[e.job] != nil && !h.isJobOver(e.job) && now.Sub(h.syncedAt) <= maxRecordsAge && now.Before(e.until)
+	return h.usable(w) && !e.stopRequested && h.jobs[e.job] != nil && !h.isJobOver(e.job) && now.Sub(h.syncedAt) <= maxRecordsAge && now.Before(e.expiresAt)
 }
 
 // unresponsiveBackoff is how long a machine that is silent is left alone after a command in vain.
@@ -266,7 +266,7 @@
 
 func (h *Holder) commandAnswered(w *worker, o protocol.Orders, rep *protocol.Report, executed bool, err error) {
 	w.commandInFlight = false
-	if h.byID[w.id] != w || h.slots[w.slot.slot] != w.slot {
+	if h.workersByID[w.id] != w || h.slots[w.slot.slot] != w.slot {
 		return
 	}
 	if err == nil || errors.Is(err, transport.ErrRefused) {
@@ -275,7 +275,7 @@
 	if errors.Is(err, transport.ErrRefused) {
 		// Nothing was sent, which says nothing of the machine: what was to be started waits on.
 		for _, e := range w.startingEntries(o) {
-			e.state, e.token = board.TaskQueued, 0
+			e.state, e.startToken = board.TaskQueued, 0
 		}
 		w.backoffUntil = time.Now().Add(time.Second)
 		return
@@ -285,13 +285,13 @@
 		// whether the machine hears. It is asked for one, once: that comes sooner than by reports,
 		// and until then nothing more is started there.
 		w.noteUnanswered(o)
-		w.seq++
+		w.tokenSeq++
 		w.probeDue = len(o.Commands) > 0
 		w.backoffUntil = time.Now().Add(time.Second)
 		if w.unresponsive { // many may be, and each attempt holds a connection until it is given up
 			w.backoffUntil = time.Now().Add(unresponsiveBackoff)
 		}
-		if w.ack.requireAck(protocol.NewToken(w.slot.term, w.seq), time.Now()) {
+		if w.ack.requireAck(protocol.NewToken(w.slot.term, w.tokenSeq), time.Now()) {
 			h.markChanged(w)
 		}
 		slog.Debug("direct command unanswered", "machine", w.id, "err", err)
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -204,11 +204,11 @@
 // before, though all ranges stay as they are.
 func TestAdmissionKnowsBlocks(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
-		jobs: map[string]*bookkeeping.Job{}, byID: map[string]*worker{}, slots: map[int]*heldSlot{}}
+		jobs: map[string]*bookkeeping.Job{}, workersByID: map[string]*worker{}, slots: map[int]*heldSlot{}}
 	s := &protocol.JobSpec{ID: "wk-1", Shape: protocol.Array, Tasks: 3 * bookkeeping.BlockTasks}
 	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, Seat: bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s)}}
 	slot := &heldSlot{}
-	h.jobs[s.ID], h.slots[0], h.byID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
+	h.jobs[s.ID], h.slots[0], h.workersByID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
 	ask := func(caller string, index int) string {
 		return h.admitStart(&AskArgs{Caller: caller}, Start{Task: protocol.TaskName(s.ID, index), Machine: "host-1"}, time.Now())
 	}
@@ -237,15 +237,15 @@
 // asked for there meanwhile, the wish comes too late; and it is over when the
 // leader no longer has it, also one whose session is older than the last one's.
 func TestWishesToDrain(t *testing.T) {
-	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, byID: map[string]*worker{}}
+	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, workersByID: map[string]*worker{}}
 	for _, id := range []string{"host-1", "host-2", "host-3"} {
-		h.byID[id] = &worker{id: id, slot: &heldSlot{}, entries: map[string]*entry{}}
+		h.workersByID[id] = &worker{id: id, slot: &heldSlot{}, entries: map[string]*entry{}}
 	}
-	h.byID["host-2"].entries["wk-1/0"] = &entry{task: "wk-1/0", state: board.TaskReserved}
-	h.byID["host-3"].entries["wk-1/1"] = &entry{task: "wk-1/1", state: protocol.TaskRunning}
-	h.byID["host-3"].suspect = true
+	h.workersByID["host-2"].entries["wk-1/0"] = &entry{task: "wk-1/0", state: board.TaskReserved}
+	h.workersByID["host-3"].entries["wk-1/1"] = &entry{task: "wk-1/1", state: protocol.TaskRunning}
+	h.workersByID["host-3"].suspect = true
 	free := func() (ids []string) {
-		for id, w := range h.byID {
+		for id, w := range h.workersByID {
 			if time.Now().Before(w.drainUntil) {
 				ids = append(ids, id)
 			}
@@ -254,10 +254,10 @@
 		return ids
 	}
 	h.drain(&DrainArgs{Wish: 100, Machines: []string{"host-1", "host-2", "host-3"}})
-	if got := free(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.byID["host-2"].entries) != 1 {
+	if got := free(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.workersByID["host-2"].entries) != 1 {
 		t.Errorf("kept free: %v", got)
 	}
-	if v := h.machineView(h.byID["host-1"]); v.Drained != 100 {
+	if v := h.machineView(h.workersByID["host-1"]); v.Drained != 100 {
 		t.Errorf("empty since wish %d", v.Drained)
 	}
 	h.drain(&DrainArgs{Wish: 90, Machines: nil})
@@ -265,7 +265,7 @@
 		t.Errorf("a former leader's wish counted: %v", got)
 	}
 	h.drain(&DrainArgs{Wish: 101, Machines: []string{"host-1"}})
-	if got := free(); !slices.Equal(got, []string{"host-1"}) || h.byID["host-1"].drainWish != 100 {
+	if got := free(); !slices.Equal(got, []string{"host-1"}) || h.workersByID["host-1"].drainWish != 100 {
 		t.Errorf("kept free: %v", got)
 	}
 }
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -17,18 +17,18 @@
 	defer deadline.Stop()
 	for first := true; ; first = false {
 		var wait chan struct{}
-		news := false
+		hasNews := false
 		if !h.ask(h.ctx, func() {
 			if first {
 				h.fences[a.Caller] = max(h.fences[a.Caller], a.Fence)
 				h.adoptWindowUpTo(a.Window)
 			}
 			wait = h.versionChanged
-			news = h.entitled() && (h.version != a.Since || h.session.Term() != a.Incarnation)
+			hasNews = h.entitled() && (h.version != a.Since || h.session.Term() != a.Incarnation)
 		}) {
 			return h.ctx.Err()
 		}
-		if !news {
+		if !hasNews {
 			select {
 			case <-wait:
 				// Let what belongs together come together, the more the more
@@ -86,7 +86,7 @@
 		}
 		r.Slots = append(r.Slots, sv)
 	}
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if w.version > since && (w.verified || w.lapsed) {
 			r.Machines = append(r.Machines, h.machineView(w))
 		}
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -23,13 +23,13 @@
 	store   *bookkeeping.Store
 	workers *transport.Workers
 
-	types          map[string]protocol.MachineType
+	machineTypes   map[string]protocol.MachineType
 	jobs           map[string]*bookkeeping.Job
 	members        map[string]*bookkeeping.Member
-	records        map[int]*bookkeeping.Slot
+	slotRecords    map[int]*bookkeeping.Slot
 	registry       map[string]*bookkeeping.Machine
 	slots          map[int]*heldSlot
-	byID           map[string]*worker
+	workersByID    map[string]*worker
 	changedJobs    map[string]bool  // to be looked at in the next tick
 	finalJobs      []string         // jobs that are over, in the order in which they ended
 	removed        []removedMachine // bounded
@@ -75,7 +75,7 @@
 	started              time.Time
 	boundUntil           time.Time
 	moratoriumPeers      []MoratoriumCaller
-	granted              map[string]membership.Grant
+	grantedMoratoria     map[string]membership.Grant
 	moratoriumUntil      time.Time
 	requestingMoratorium bool
 	moratoriumRequested  time.Time
@@ -124,31 +124,31 @@
 	}
 	now := time.Now()
 	return &Holder{
-		actor:          newActor(ctx),
-		cfg:            c,
-		quotas:         c.Quotas,
-		session:        session,
-		store:          store,
-		workers:        workers,
-		started:        now,
-		boundUntil:     now.Add(membership.RecoveryPeriod),
-		granted:        map[string]membership.Grant{},
-		watermark:      membership.NewWatermark(siblings),
-		announcing:     map[string]announcing{},
-		acknowledged:   make(chan struct{}),
-		misrouted:      map[string]misroutedReport{},
-		types:          map[string]protocol.MachineType{},
-		jobs:           map[string]*bookkeeping.Job{},
-		members:        map[string]*bookkeeping.Member{},
-		records:        map[int]*bookkeeping.Slot{},
-		registry:       map[string]*bookkeeping.Machine{},
-		slots:          map[int]*heldSlot{},
-		byID:           map[string]*worker{},
-		changedJobs:    map[string]bool{},
-		opinions:       map[string]placement.Opinion{},
-		releasing:      map[int]*heldSlot{},
-		versionChanged: make(chan struct{}),
-		fences:         map[string]protocol.Token{},
+		actor:            newActor(ctx),
+		cfg:              c,
+		quotas:           c.Quotas,
+		session:          session,
+		store:            store,
+		workers:          workers,
+		started:          now,
+		boundUntil:       now.Add(membership.RecoveryPeriod),
+		grantedMoratoria: map[string]membership.Grant{},
+		watermark:        membership.NewWatermark(siblings),
+		announcing:       map[string]announcing{},
+		acknowledged:     make(chan struct{}),
+		misrouted:        map[string]misroutedReport{},
+		machineTypes:     map[string]protocol.MachineType{},
+		jobs:             map[string]*bookkeeping.Job{},
+		members:          map[string]*bookkeeping.Member{},
+		slotRecords:      map[int]*bookkeeping.Slot{},
+		registry:         map[string]*bookkeeping.Machine{},
+		slots:            map[int]*heldSlot{},
+		workersByID:      map[string]*worker{},
+		changedJobs:      map[string]bool{},
+		opinions:         map[string]placement.Opinion{},
+		releasing:        map[int]*heldSlot{},
+		versionChanged:   make(chan struct{}),
+		fences:           map[string]protocol.Token{},
 	}
 }
 
@@ -217,7 +217,7 @@
 			h.formerLeasesLapsed(s)
 		}
 	}
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		h.reconcileWorker(w, now, lease)
 	}
 	clear(h.changedJobs)
@@ -239,12 +239,12 @@
 
 // dropWorker takes a machine off what is told of the slots.
 func (h *Holder) dropWorker(id string) {
-	w := h.byID[id]
+	w := h.workersByID[id]
 	if w == nil {
 		return
 	}
-	w.slot.highestDroppedSeq = max(w.slot.highestDroppedSeq, w.seq)
-	delete(h.byID, id)
+	w.slot.highestDroppedSeq = max(w.slot.highestDroppedSeq, w.tokenSeq)
+	delete(h.workersByID, id)
 	if len(h.removed) == maxRemoved {
 		h.removed = h.removed[1:]
 	}
@@ -283,7 +283,7 @@
 		return
 	}
 	h.registry[id] = m
-	if w := h.byID[id]; w != nil {
+	if w := h.workersByID[id]; w != nil {
 		h.markChanged(w)
 	}
 }
@@ -310,11 +310,11 @@
 // overview is what the holder adds to a controller's overview.
 func (h *Holder) overview() protocol.MachineCount {
 	now := time.Now()
-	c := protocol.MachineCount{Machines: len(h.byID), Answers: h.mayAnswer()}
+	c := protocol.MachineCount{Machines: len(h.workersByID), Answers: h.mayAnswer()}
 	if at := h.watermark.Time(); !at.IsZero() {
 		c.HorizonS = *seconds(now.Sub(at))
 	}
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if w.unresponsive || w.lapsed {
 			c.Silent++
 		}
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -23,65 +23,65 @@
 	token           protocol.Token
 	renewed         time.Time
 	running         bool
-	// deaf: nothing reaches it; mute: nothing of its leaves it.
-	deaf, mute bool
-	// again: it began anew, and no answer has come to it since.
-	again bool
-	next  time.Time // of its reports
-	sent  []protocol.Report
+	// receivesNothing: nothing reaches it; sendsNothing: nothing of its leaves it.
+	receivesNothing, sendsNothing bool
+	// restarted: it began anew, and no answer has come to it since.
+	restarted   bool
+	nextReport  time.Time // of its reports
+	sentReports []protocol.Report
 	// calls are direct commands, which the test's goroutine has the machine carry out.
 	calls chan func()
-	// held is a direct command to start that is held up on its way since heldAt; nil: none is.
-	held   *protocol.Orders
-	heldAt time.Time
+	// delayedStart is a direct command to start that is delayedStart up on its way since heldAt; nil: none is.
+	delayedStart *protocol.Orders
+	delayedSince time.Time
 }
 
-// longestHeld is how long a command of the model is held up at most, as on the users' bench.
-const longestHeld = 16 * time.Second
+// maxCommandDelay is how long a command of the model is held up at most, as on the users' bench.
+const maxCommandDelay = 16 * time.Second
 
-// arrive has the command that was held up arrive.
-func (m *modelWorker) arrive() {
-	if o := m.held; o.Token >= m.token && o.Session == m.session {
-		m.token, m.running, m.next = o.Token, true, time.Now()
+// deliverDelayedStart has the command that was held up deliverDelayedStart.
+func (m *modelWorker) deliverDelayedStart() {
+	if o := m.delayedStart; o.Token >= m.token && o.Session == m.session {
+		m.token, m.running, m.nextReport = o.Token, true, time.Now()
 	}
-	m.held = nil
+	m.delayedStart = nil
 }
 
-func (m *modelWorker) snapshot() protocol.Report {
+func (m *modelWorker) newReport() protocol.Report {
 	m.ticket++
-	r := *report(m.session, m.ticket, m.token)
+	r := *testReport(m.session, m.ticket, m.token)
 	if m.running {
 		r.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 1, State: protocol.TaskRunning}}
 	}
-	m.sent = append(m.sent, r)
+	m.sentReports = append(m.sentReports, r)
 	return r
 }
 
-// live lets the lease lapse, and reports when it is time, to the holder that holds it now.
-func (m *modelWorker) live(h *Holder, lease, every time.Duration) {
+// tick lets the lease lapse, and reports when it is time, to the holder that holds it now.
+func (m *modelWorker) tick(h *Holder, lease, every time.Duration) {
 	if now := time.Now(); now.Sub(m.renewed) > lease {
-		m.running, m.session, m.renewed, m.next = false, m.session+1, now, now
+		m.running, m.session, m.renewed, m.nextReport = false, m.session+1, now, now
 	}
-	if time.Now().Before(m.next) {
+	if time.Now().Before(m.nextReport) {
 		return
 	}
-	at, rep := time.Now(), m.snapshot()
-	m.next = at.Add(every)
-	if m.mute {
+	at, rep := time.Now(), m.newReport()
+	m.nextReport = at.Add(every)
+	if m.sendsNothing {
 		return
 	}
 	status, body := h.Report(&rep)
-	if m.deaf {
-		m.next = at.Add(2 * every) // it tries others meanwhile
+	if m.receivesNothing {
+		m.nextReport = at.Add(2 * every) // it tries others meanwhile
 		return
 	}
 	if a, ok := body.(protocol.ReportAnswer); ok && status == http.StatusOK && a.Token >= m.token && rep.Session == m.session {
-		m.token, m.renewed, m.again = a.Token, at, false
+		m.token, m.renewed, m.restarted = a.Token, at, false
 	}
 }
 
-// do serves direct commands.
-func (m *modelWorker) do(w http.ResponseWriter, r *http.Request) {
+// handleCommand serves direct commands.
+func (m *modelWorker) handleCommand(w http.ResponseWriter, r *http.Request) {
 	var o protocol.Orders
 	if json.NewDecoder(r.Body).Decode(&o) != nil {
 		panic(http.ErrAbortHandler)
@@ -91,13 +91,13 @@
 	done := make(chan struct{})
 	m.calls <- func() {
 		defer close(done)
-		if lost = m.deaf; lost {
+		if lost = m.receivesNothing; lost {
 			return
 		}
 		if o.Token >= m.token && o.Session == m.session {
 			m.token, status = o.Token, http.StatusOK
 		}
-		rep, lost = m.snapshot(), m.mute
+		rep, lost = m.newReport(), m.sendsNothing
 	}
 	select {
 	case <-done:
@@ -111,8 +111,8 @@
 	json.NewEncoder(w).Encode(rep)
 }
 
-// obey has the machine carry out what was told it directly.
-func (m *modelWorker) obey() {
+// runCalls has the machine carry out what was told it directly.
+func (m *modelWorker) runCalls() {
 	for synctest.Wait(); len(m.calls) > 0; synctest.Wait() {
 		(<-m.calls)()
 	}
@@ -124,7 +124,7 @@
 // all is well it knows again what is there. (What a former holder sent is kept by the boards of
 // owners.) Found by it with the mistake put in: numbers not compared, the newest answer not
 // counted, reports believed under an older term, a start that may still arrive taken for void.
-func TestNothingIsGoneThatRuns(t *testing.T) {
+func TestRunningTaskIsNeverDropped(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
 	if err != nil {
 		t.Fatal(err)
@@ -132,99 +132,99 @@
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ testing.TB }{t}, func(rt *rapid.T) {
 			m := &modelWorker{session: 1, token: protocol.NewToken(1, 5), renewed: time.Now(), running: true, calls: make(chan func(), 16)}
-			ctx, dial, end := serveWorker(m.do)
+			ctx, dial, end := serveWorker(m.handleCommand)
 			defer end()
 			term := uint64(2)
-			h, s := holderOf(ctx, c, dial, term, "host-000004")
+			h, s := newTestHolder(ctx, c, dial, term, "host-000004")
 			h.jobs["wk-1"] = pendingJob("wk-1")
-			live := func(d time.Duration) {
+			advance := func(d time.Duration) {
 				for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
-					m.live(h, c.WorkerLease(), c.ReportEvery())
-					m.obey()
-					h.told()
-					w := h.byID["host-000004"]
+					m.tick(h, c.WorkerLease(), c.ReportEvery())
+					m.runCalls()
+					h.runQueuedAndTick()
+					w := h.workersByID["host-000004"]
 					if s.complete && m.running && (w == nil || w.entries["wk-1/0"] == nil || w.lapsed && len(w.openStarts) == 0) {
 						rt.Fatalf("taken for gone %v after the slot was taken: %+v", time.Since(s.adopted), w)
 					}
-					if m.held != nil && time.Since(m.heldAt) > longestHeld {
-						m.held = nil
+					if m.delayedStart != nil && time.Since(m.delayedSince) > maxCommandDelay {
+						m.delayedStart = nil
 					}
-					if m.held != nil && m.held.Token.Term() == term && (w == nil || w.entries["wk-1/0"] == nil) {
-						rt.Fatalf("taken for gone %v after a start was sent that may still arrive: %+v", time.Since(m.heldAt), w)
+					if m.delayedStart != nil && m.delayedStart.Token.Term() == term && (w == nil || w.entries["wk-1/0"] == nil) {
+						rt.Fatalf("taken for gone %v after a start was sent that may still arrive: %+v", time.Since(m.delayedSince), w)
 					}
 				}
 			}
 			rt.Repeat(map[string]func(*rapid.T){
 				"time passes": func(rt *rapid.T) {
-					live(time.Duration(rapid.IntRange(1, 40).Draw(rt, "quarters")) * 250 * time.Millisecond)
+					advance(time.Duration(rapid.IntRange(1, 40).Draw(rt, "quarters")) * 250 * time.Millisecond)
 				},
 				"a copy comes": func(rt *rapid.T) {
-					if len(m.sent) > 0 {
-						rep := rapid.SampledFrom(m.sent).Draw(rt, "report")
+					if len(m.sentReports) > 0 {
+						rep := rapid.SampledFrom(m.sentReports).Draw(rt, "report")
 						h.Report(&rep)
-						m.obey()
-						h.told()
+						m.runCalls()
+						h.runQueuedAndTick()
 					}
 				},
-				"it goes deaf": func(rt *rapid.T) { m.deaf = rapid.Bool().Draw(rt, "deaf") },
-				"it goes mute": func(rt *rapid.T) { m.mute = rapid.Bool().Draw(rt, "mute") },
+				"it goes deaf": func(rt *rapid.T) { m.receivesNothing = rapid.Bool().Draw(rt, "deaf") },
+				"it goes mute": func(rt *rapid.T) { m.sendsNothing = rapid.Bool().Draw(rt, "mute") },
 				"another holds": func(rt *rapid.T) {
 					jobs := h.jobs
 					term++
-					h, s = holderOf(ctx, c, dial, term, "host-000004")
+					h, s = newTestHolder(ctx, c, dial, term, "host-000004")
 					h.jobs = jobs
 				},
 				"it begins anew": func(rt *rapid.T) {
-					m.session, m.ticket, m.token, m.renewed, m.running, m.again, m.next = 1, 0, 0, time.Now(), false, true, time.Now()
+					m.session, m.ticket, m.token, m.renewed, m.running, m.restarted, m.nextReport = 1, 0, 0, time.Now(), false, true, time.Now()
 				},
 				"a start is held up": func(rt *rapid.T) {
-					w := h.byID["host-000004"]
-					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.running || m.held != nil || w.entries["wk-1/0"] != nil {
+					w := h.workersByID["host-000004"]
+					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.running || m.delayedStart != nil || w.entries["wk-1/0"] != nil {
 						return
 					}
-					w.seq++
-					o := protocol.Orders{Token: protocol.NewToken(term, w.seq), Session: w.session, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 1}}}
+					w.tokenSeq++
+					o := protocol.Orders{Token: protocol.NewToken(term, w.tokenSeq), Session: w.session, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 1}}}
 					w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 1, state: board.TaskStarting}
 					w.noteStarts(o, time.Now().Add(commandLifetime(c)))
 					w.commandInFlight, w.ticketAtSend = true, w.ticket
-					m.held, m.heldAt = &o, time.Now()
+					m.delayedStart, m.delayedSince = &o, time.Now()
 					h.commandAnswered(w, o, nil, false, transport.ErrUnknown)
 				},
 				"what was held up arrives": func(rt *rapid.T) {
-					if m.held != nil && m.held.Token.Term() == term {
-						m.arrive()
+					if m.delayedStart != nil && m.delayedStart.Token.Term() == term {
+						m.deliverDelayedStart()
 					}
 				},
 				"a task runs there": func(rt *rapid.T) {
 					// Started by whoever holds it, by a direct command, who knows it to be there: only
 					// where it is known. Whether its answer comes or not, unless it began anew unseen.
-					w := h.byID["host-000004"]
-					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.deaf || m.running || w.entries["wk-1/0"] != nil || m.session != w.session {
+					w := h.workersByID["host-000004"]
+					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.receivesNothing || m.running || w.entries["wk-1/0"] != nil || m.session != w.session {
 						return
 					}
-					w.seq++
-					o := protocol.Orders{Token: protocol.NewToken(term, w.seq), Session: w.session, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 1}}}
-					w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 1, state: board.TaskStarting, token: o.Token}
+					w.tokenSeq++
+					o := protocol.Orders{Token: protocol.NewToken(term, w.tokenSeq), Session: w.session, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 1}}}
+					w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 1, state: board.TaskStarting, startToken: o.Token}
 					w.commandInFlight, w.ticketAtSend = true, w.ticket
-					m.token, m.running, m.next = o.Token, true, time.Now()
-					rep := m.snapshot()
-					if m.again || rapid.Bool().Draw(rt, "answered") {
+					m.token, m.running, m.nextReport = o.Token, true, time.Now()
+					rep := m.newReport()
+					if m.restarted || rapid.Bool().Draw(rt, "answered") {
 						h.commandAnswered(w, o, &rep, true, nil)
 					} else {
 						h.commandAnswered(w, o, nil, false, transport.ErrUnknown)
 					}
 				},
 			})
-			m.deaf, m.mute = false, false
+			m.receivesNothing, m.sendsNothing = false, false
 			// One that began anew counts its sessions from the beginning, a lease each. (A leader
 			// would have returned it as silent long before.)
 			past := uint64(0)
-			for _, rep := range m.sent {
+			for _, rep := range m.sentReports {
 				past = max(past, rep.Session)
 			}
-			live(time.Duration(4+past) * c.WorkerLease())
-			if w := h.byID["host-000004"]; w == nil || !w.verified || w.lapsed || !s.complete || !h.startable(w) || m.running != (w.entries["wk-1/0"] != nil) {
-				rt.Fatalf("not known again, running %v: %+v of %+v", m.running, h.byID["host-000004"], s)
+			advance(time.Duration(4+past) * c.WorkerLease())
+			if w := h.workersByID["host-000004"]; w == nil || !w.verified || w.lapsed || !s.complete || !h.startable(w) || m.running != (w.entries["wk-1/0"] != nil) {
+				rt.Fatalf("not known again, running %v: %+v of %+v", m.running, h.workersByID["host-000004"], s)
 			}
 		})
 	})
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -160,7 +160,7 @@
 	reply := PromiseReply{Given: grantor.Grants(), AgeMs: now.Sub(h.started).Milliseconds()}
 	if reply.Given {
 		more := min(max(membership.BriefMoratoriumFor, time.Duration(a.ForMs)*time.Millisecond), membership.MoratoriumFor)
-		h.granted[a.Caller] = h.granted[a.Caller].Extend(now, more)
+		h.grantedMoratoria[a.Caller] = h.grantedMoratoria[a.Caller].Extend(now, more)
 	}
 	// The request was under way for no longer than its caller waits.
 	behind := min(max(0, time.Duration(a.SinceMs)*time.Millisecond), mostSince)
@@ -177,7 +177,7 @@
 // mayTakeOver tells whether this process may take slots that the named controller holds.
 func (h *Holder) mayTakeOver(holder string) bool {
 	now := time.Now()
-	return holder == "" || holder == h.cfg.Name || membership.MayTakeOver(h.boundUntil, h.granted[holder].Until, now)
+	return holder == "" || holder == h.cfg.Name || membership.MayTakeOver(h.boundUntil, h.grantedMoratoria[holder].Until, now)
 }
 
 // entitled tells whether this holder is surely the only one entitled to its workers.
@@ -194,7 +194,7 @@
 func (h *Holder) mayConfirm(job string) bool {
 	now := time.Now()
 	h.cancelled.Learn(job, now)
-	return membership.MayConfirm(h.cancelled.KnownSince(job), h.boundUntil, h.granted, now)
+	return membership.MayConfirm(h.cancelled.KnownSince(job), h.boundUntil, h.grantedMoratoria, now)
 }
 
 // requestMoratorium asks all siblings for a moratorium while the session is about to be no longer
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -40,7 +40,7 @@
 		}
 	}
 	var addrs []string
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if !w.verified || w.lapsed {
 			continue
 		}
@@ -129,7 +129,7 @@
 		return
 	}
 	rep := protocol.Report{Session: n.Session, Ticket: n.Ticket}
-	if w := h.byID[n.Machine]; w != nil && !rep.Newer(w.session, w.ticket) {
+	if w := h.workersByID[n.Machine]; w != nil && !rep.Newer(w.session, w.ticket) {
 		return
 	}
 	if at := heard.Add(-time.Duration(n.AgoMs) * time.Millisecond); at.After(s.adopted) && at.After(h.reportedElsewhereAt) {
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -61,7 +61,7 @@
 		types[t.Name] = t
 	}
 	k.catalog.Store(c)
-	k.holder.tell(func() { k.holder.types = types })
+	k.holder.tell(func() { k.holder.machineTypes = types })
 	k.owner.tell(func() { k.owner.types = types; k.owner.dirty = true })
 	k.leader.tell(func() { k.leader.catalog = c })
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -35,26 +35,26 @@
 		return http.StatusServiceUnavailable, nil
 	}
 	w := h.workerOf(rep.Machine, s)
-	was := w.session
+	previousSession := w.session
 	late := time.Since(w.lastHeard) > h.cfg.ReportEvery()*2
 	switch {
 	case w.isNewer(rep):
 	case w.restartToken != 0 && rep.Token == w.restartToken:
 		h.noteRestart(w, rep) // only a worker that began anew was given this token
-		was = w.session
+		previousSession = w.session
 	default:
 		return h.answerStaleReport(w, rep)
 	}
-	if was == rep.Session {
+	if previousSession == rep.Session {
 		h.noteAck(w, rep.Token)
 	}
 	if !h.applyReport(w, rep) {
 		return http.StatusServiceUnavailable, nil
 	}
 	w.reported = w.lastHeard
-	if late && was != 0 {
-		w.seq++ // does it hear? Its next report shows
-		w.ack.requireAck(protocol.NewToken(s.term, w.seq), time.Now())
+	if late && previousSession != 0 {
+		w.tokenSeq++ // does it hear? Its next report shows
+		w.ack.requireAck(protocol.NewToken(s.term, w.tokenSeq), time.Now())
 		h.markChanged(w)
 	}
 	h.sendCommands(w)
@@ -63,7 +63,7 @@
 
 // otherHolder is the controller that holds a slot by the records, "" if that is this one or nobody.
 func (h *Holder) otherHolder(slot int) string {
-	if rec := h.records[slot]; h.slots[slot] == nil && rec != nil && rec.Holder != h.cfg.Name {
+	if rec := h.slotRecords[slot]; h.slots[slot] == nil && rec != nil && rec.Holder != h.cfg.Name {
 		return rec.Holder
 	}
 	return ""
@@ -83,10 +83,10 @@
 
 // workerOf is what is known of a machine's worker, from now on if nothing was.
 func (h *Holder) workerOf(machine string, s *heldSlot) *worker {
-	w := h.byID[machine]
+	w := h.workersByID[machine]
 	if w == nil {
-		w = &worker{id: machine, slot: s, seq: s.highestDroppedSeq + 1, firstHeard: time.Now(), entries: map[string]*entry{}, openStarts: map[string]openStart{}, failedJobs: map[string]bool{}, readyImages: map[string]bool{}}
-		h.byID[machine] = w
+		w = &worker{id: machine, slot: s, tokenSeq: s.highestDroppedSeq + 1, firstHeard: time.Now(), entries: map[string]*entry{}, openStarts: map[string]openStart{}, failedJobs: map[string]bool{}, readyImages: map[string]bool{}}
+		h.workersByID[machine] = w
 	}
 	return w
 }
@@ -104,7 +104,7 @@
 		return http.StatusServiceUnavailable, nil // owners look such jobs up
 	}
 	commands = append(commands, h.repeatUnanswered(w, time.Now())...)
-	w.unackedAnswer, w.unackedAnswerToken = time.Now(), protocol.NewToken(w.slot.term, w.seq)
+	w.unackedAnswer, w.unackedAnswerToken = time.Now(), protocol.NewToken(w.slot.term, w.tokenSeq)
 	return http.StatusOK, protocol.ReportAnswer{Token: w.unackedAnswerToken, Commands: commands}
 }
 
@@ -126,15 +126,15 @@
 	if rep.Token >= w.restartToken {
 		w.restartToken = 0 // it was heard of since: what comes with that token now is a copy
 	}
-	news := rep.Session > w.session || w.lapsed || w.unresponsive || w.reclaimNotice != (rep.NoticeS != nil)
-	was := w.verified
+	changed := rep.Session > w.session || w.lapsed || w.unresponsive || w.reclaimNotice != (rep.NoticeS != nil)
+	wasVerified := w.verified
 	if rep.Session > w.session && w.session != 0 {
 		h.forgetTasks(w) // the former session's tasks were killed
 	}
 	if rep.Session > w.session && w.session != 0 && !w.lapsed && now.Sub(w.lastPossibleRenewal()) < h.cfg.WorkerLease() {
 		// Its lease ended though we answered: it has to show that it hears before it is used.
-		w.seq++
-		w.ack.requireAck(protocol.NewToken(w.slot.term, w.seq), now)
+		w.tokenSeq++
+		w.ack.requireAck(protocol.NewToken(w.slot.term, w.tokenSeq), now)
 		slog.Info("machine didn't hear", "machine", w.id)
 	}
 	if rep.Session > w.session {
@@ -145,14 +145,14 @@
 	}
 	w.session, w.ticket = rep.Session, rep.Ticket
 	if w.ack.observe(rep.Token) {
-		news = true
+		changed = true
 	}
 	w.addr, w.machineType, w.zone, w.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
 	w.lastHeard = now
 	w.lapsed, w.unresponsive = false, false
 	w.reclaimNotice = rep.NoticeS != nil
-	news = news || !was
-	if rep.Token.Term() == w.slot.term && h.applyTasks(w, rep) || news {
+	changed = changed || !wasVerified
+	if rep.Token.Term() == w.slot.term && h.applyTasks(w, rep) || changed {
 		h.markChanged(w)
 	}
 	return true
@@ -172,7 +172,7 @@
 // that refuses a start since another attempt is there lists both: the one that is there counts,
 // and of those that ended the one that completed.
 func countedAttempts(reported []protocol.TaskReport) []protocol.TaskReport {
-	weight := func(t *protocol.TaskReport) int {
+	rank := func(t *protocol.TaskReport) int {
 		switch {
 		case t.State != protocol.TaskExited:
 			return 2
@@ -189,7 +189,7 @@
 		case !seen:
 			at[t.Task] = len(counted)
 			counted = append(counted, t)
-		case weight(&t) > weight(&counted[k]):
+		case rank(&t) > rank(&counted[k]):
 			counted[k] = t
 		}
 	}
@@ -226,9 +226,9 @@
 		if t.Cause == protocol.CauseIncomplete && e.state != "" && !e.exited() {
 			// Its owner says what becomes of its place. (Once others had it at once; it started
 			// elsewhere, fetched its image there, and the rest of the gang waited in vain in turn.)
-			e.until = now.Add(incompletePlaceLifetime)
+			e.expiresAt = now.Add(incompletePlaceLifetime)
 		}
-		e.state, e.cause, e.saved, e.token = t.State, t.Cause, t.Saved, 0
+		e.state, e.cause, e.saved, e.startToken = t.State, t.Cause, t.Saved, 0
 		if e.state == protocol.TaskRunning && !e.proven && !e.runningSince.IsZero() && time.Since(e.runningSince) >= placement.ProvenAfter {
 			e.proven = true
 			h.succeeded(w)
@@ -237,13 +237,13 @@
 	for name, e := range w.entries {
 		switch {
 		case listed[name] || e.state == board.TaskQueued || e.state == board.TaskReserved:
-		case e.state == board.TaskStarting && rep.Token <= e.token:
+		case e.state == board.TaskStarting && rep.Token <= e.startToken:
 			// The start may still be on its way (invariant 3).
 		case !w.dropEntry(e, now, !h.isJobOver(e.job)):
 		default:
 			news = true
 			if e.exited() && e.keepRoom && !h.isJobOver(e.job) && h.startable(w) {
-				w.entries[name] = &entry{task: name, job: e.job, index: e.index, attempt: e.attempt, state: board.TaskReserved, until: now.Add(reservationLifetime)}
+				w.entries[name] = &entry{task: name, job: e.job, index: e.index, attempt: e.attempt, state: board.TaskReserved, expiresAt: now.Add(reservationLifetime)}
 			}
 		}
 	}
@@ -262,7 +262,7 @@
 func (h *Holder) noteState(w *worker, e *entry, t protocol.TaskReport) {
 	slog.Debug("task", "task", e.task, "machine", w.id, "was", e.state, "is", t.State, "cause", t.Cause)
 	if j := h.jobs[e.job]; j != nil && t.State != protocol.TaskExited {
-		w.useImage(image{j.Spec.Image, j.Spec.ImageGB}, h.types[w.machineType].CacheGB)
+		w.useImage(image{j.Spec.Image, j.Spec.ImageGB}, h.machineTypes[w.machineType].CacheGB)
 		if t.State != protocol.TaskPulling {
 			w.readyImages[j.Spec.Image] = true
 		}
--- a/internal/coordination/serve.go
+++ b/internal/coordination/serve.go
@@ -51,13 +51,13 @@
 		wanted[id], vacate[id] = true, true
 	}
 	now := time.Now()
-	for id, w := range h.byID {
-		drains := now.Before(w.drainUntil)
+	for id, w := range h.workersByID {
+		draining := now.Before(w.drainUntil)
 		switch {
-		case wanted[id] && !vacate[id] && !drains && !w.suspect && len(w.entries) > 0:
+		case wanted[id] && !vacate[id] && !draining && !w.suspect && len(w.entries) > 0:
 			// It got work that the leader has not seen yet: it is not idle any more.
 		case wanted[id]:
-			if !drains {
+			if !draining {
 				w.drainWish = a.Wish
 			}
 			w.drainUntil = now.Add(drainLifetime)
@@ -66,11 +66,11 @@
 					delete(w.entries, name)
 				}
 			}
-			if !drains || len(w.entries) == 0 || w.vacating != vacate[id] {
+			if !draining || len(w.entries) == 0 || w.vacating != vacate[id] {
 				h.markChanged(w)
 			}
 			w.vacating = vacate[id]
-		case drains:
+		case draining:
 			w.drainUntil = time.Time{}
 			h.markChanged(w)
 		}
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -75,8 +75,8 @@
 
 // renew returns once the lease is known to have ended.
 func (s *Session) renew(ctx context.Context, lease uint64) {
-	every := s.ttl / 6
-	wait := every
+	interval := s.ttl / 6
+	wait := interval
 	for ctx.Err() == nil {
 		pause(ctx, wait)
 		sent := time.Now()
@@ -84,12 +84,12 @@
 		switch {
 		case err == nil:
 			s.extend(sent)
-			wait = every
+			wait = interval
 		case errors.Is(err, transport.ErrNoLease):
 			return
 		default:
 			slog.Debug("renewal failed", "err", err)
-			wait = min(every, 500*time.Millisecond)
+			wait = min(interval, 500*time.Millisecond)
 		}
 	}
 }
@@ -99,12 +99,12 @@
 
 // SetWorkersUnreachable tells the others whether workers can reach this controller. An error means that they may not
 // have been told, or may have been all the same: it is to be tried again.
-func (s *Session) SetWorkersUnreachable(ctx context.Context, deaf bool) error {
+func (s *Session) SetWorkersUnreachable(ctx context.Context, unreachable bool) error {
 	if !s.Valid() {
 		return errNoSession
 	}
-	s.workersUnreachable.Store(deaf)
-	return s.store.UpdateMember(ctx, s.name, bookkeeping.Member{Term: s.Term(), WorkersUnreachable: deaf}, s.Lease())
+	s.workersUnreachable.Store(unreachable)
+	return s.store.UpdateMember(ctx, s.name, bookkeeping.Member{Term: s.Term(), WorkersUnreachable: unreachable}, s.Lease())
 }
 
 // errNoSession says that the controller has no session in which it could act.
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -20,7 +20,7 @@
 	h.moratoriumUntil = time.Time{}
 	h.sessionsLost++
 	h.slots = map[int]*heldSlot{}
-	h.byID = map[string]*worker{}
+	h.workersByID = map[string]*worker{}
 	h.removed = nil
 	h.bumpVersion()
 }
@@ -28,7 +28,7 @@
 // slotChanged takes in a slot's record. One of a higher term than this holder's says that somebody took
 // the slot since: this holder stops acting for it at once.
 func (h *Holder) slotChanged(slot int, record *bookkeeping.Slot) {
-	h.records[slot] = record
+	h.slotRecords[slot] = record
 	if s := h.slots[slot]; s != nil && record.Term > s.term {
 		slog.Info("a slot was taken by another", "slot", slot, "holder", record.Holder, "term", record.Term, "was", s.term)
 		h.forgetSlot(s)
@@ -38,9 +38,9 @@
 // forgetSlot stops acting for a slot.
 func (h *Holder) forgetSlot(s *heldSlot) {
 	delete(h.slots, s.slot)
-	for id, w := range h.byID {
+	for id, w := range h.workersByID {
 		if w.slot == s {
-			delete(h.byID, id)
+			delete(h.workersByID, id)
 		}
 	}
 	h.bumpVersion()
@@ -108,7 +108,7 @@
 // claimFor is what it takes to take a slot, if nobody can be acting for it: another process may be as
 // long as its session lives; the member record tells.
 func (h *Holder) claimFor(slot int, incarnation uint64) (c bookkeeping.Claim, may bool) {
-	c = bookkeeping.Claim{Slot: slot, Seen: h.records[slot]}
+	c = bookkeeping.Claim{Slot: slot, Seen: h.slotRecords[slot]}
 	if c.Seen == nil || c.Seen.Holder == "" {
 		return c, true
 	}
@@ -169,7 +169,7 @@
 					if h.registry[m.ID] == nil && !h.retired.has(m.ID) {
 						h.registry[m.ID] = m
 					}
-					if w := h.byID[m.ID]; s.roster[m.Number()] && !(w != nil && w.verified) {
+					if w := h.workersByID[m.ID]; s.roster[m.Number()] && !(w != nil && w.verified) {
 						s.awaited[m.ID] = true
 					}
 				}
@@ -191,7 +191,7 @@
 // after its first report, ran on for as long as that report was later than the adoption.
 func (h *Holder) formerLeasesLapsed(s *heldSlot) {
 	unknown := map[string]bool{}
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if w.slot == s && !w.verified && !w.lapsed {
 			unknown[w.id] = true
 		}
@@ -227,7 +227,7 @@
 		if slot < len(h.latestWindow.Assignment) && h.isAssignedHere(slot) {
 			continue
 		}
-		rec := h.records[slot]
+		rec := h.slotRecords[slot]
 		if slot < len(h.latestWindow.Assignment) && h.members[h.latestWindow.Assignment[slot]] == nil || rec == nil || rec.Term != s.term {
 			continue
 		}
@@ -241,7 +241,7 @@
 	}
 	var changes []bookkeeping.SlotChange
 	for slot, s := range h.releasing {
-		rec := h.records[slot]
+		rec := h.slotRecords[slot]
 		if rec.Term != s.term || rec.Holder == "" {
 			delete(h.releasing, slot) // said, or taken already
 		} else if len(changes) < h.store.MostClaims() {
@@ -259,7 +259,7 @@
 		return
 	}
 	for slot, holder := range h.latestWindow.Assignment {
-		rec := h.records[slot]
+		rec := h.slotRecords[slot]
 		if holder == h.cfg.Name || h.members[holder] == nil || h.slots[slot] != nil || h.releasing[slot] != nil {
 			continue
 		}
@@ -306,7 +306,7 @@
 		}
 		return rosters[s]
 	}
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if n := protocol.MachineNumber(w.id); w.verified && w.slot.ready && h.registry[w.id] != nil && !w.slot.roster[n] {
 			if r := roster(w.slot); r != nil {
 				r[n] = true
@@ -321,7 +321,7 @@
 	}
 	var changes []bookkeeping.SlotChange
 	for s, r := range rosters {
-		rec := h.records[s.slot]
+		rec := h.slotRecords[s.slot]
 		if rec == nil || rec.Term != s.term || rec.Holder != h.cfg.Name {
 			delete(rosters, s) // our own record has not come back to us yet
 			continue
@@ -336,7 +336,7 @@
 				s.roster = r
 			}
 		}
-		for _, w := range h.byID {
+		for _, w := range h.workersByID {
 			if r := rosters[w.slot]; r != nil && h.slots[w.slot.slot] == w.slot {
 				h.markChanged(w)
 			}
@@ -354,26 +354,26 @@
 	if h.registeringFound {
 		return
 	}
-	var fresh []bookkeeping.Machine
+	var unregistered []bookkeeping.Machine
 	now := time.Now()
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if w.verified && h.registry[w.id] == nil && now.Sub(w.firstHeard) > registerFoundAfter {
-			fresh = append(fresh, bookkeeping.Machine{ID: w.id, Type: w.machineType, Zone: w.zone, Spot: w.spot, RentedMs: now.UnixMilli()})
+			unregistered = append(unregistered, bookkeeping.Machine{ID: w.id, Type: w.machineType, Zone: w.zone, Spot: w.spot, RentedMs: now.UnixMilli()})
 		}
 	}
-	if len(fresh) == 0 {
+	if len(unregistered) == 0 {
 		return
 	}
-	slog.Info("unexpected machines", "count", len(fresh))
+	slog.Info("unexpected machines", "count", len(unregistered))
 	h.registeringFound = true
 	batches := map[string]bookkeeping.RentalBatch{}
-	for _, l := range bookkeeping.RentalBatches(fresh) {
+	for _, batch := range bookkeeping.RentalBatches(unregistered) {
 		h.foundBatches++
-		batches[fmt.Sprintf("h-%d-%d", h.session.Term(), h.foundBatches)] = l
+		batches[fmt.Sprintf("h-%d-%d", h.session.Term(), h.foundBatches)] = batch
 	}
 	go func() {
-		for name, l := range batches {
-			if err := h.store.AddRentalBatch(h.ctx, transport.Ordinary, name, l); err != nil {
+		for name, batch := range batches {
+			if err := h.store.AddRentalBatch(h.ctx, transport.Ordinary, name, batch); err != nil {
 				slog.Debug("found machines not registered", "err", err)
 			}
 		}
--- a/internal/coordination/standing.go
+++ b/internal/coordination/standing.go
@@ -9,8 +9,8 @@
 
 // How jobs stand, as their owner tells users and other parts of the controller.
 
-// jobStanding is what a controller knows of a job.
-type jobStanding struct {
+// jobStatus is what a controller knows of a job.
+type jobStatus struct {
 	job     *bookkeeping.Job
 	running int
 	// reason and startsIn tell why no task runs and until when, if known.
@@ -30,13 +30,13 @@
 }
 
 // Status is what this controller knows of a job, nil if nothing.
-func (o *Owner) Status(ctx context.Context, id string) *jobStanding {
-	st, _ := askFor(ctx, &o.actor, func() *jobStanding {
+func (o *Owner) Status(ctx context.Context, id string) *jobStatus {
+	st, _ := askFor(ctx, &o.actor, func() *jobStatus {
 		js := o.jobs[id]
 		if js == nil {
 			return nil
 		}
-		st := &jobStanding{job: js.job}
+		st := &jobStatus{job: js.job}
 		if _, st.running = o.countTasks(id); st.running == 0 && !js.job.Final() {
 			reason, in := o.why(js, time.Now())
 			st.reason, st.startsIn = reason, seconds(in)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -19,7 +19,7 @@
 // ErrLater says that it cannot be decided now; the user should come again.
 var ErrLater = errors.New("cannot be decided now")
 
-func (k *Controller) answer(s *jobStanding) *protocol.JobStatus {
+func (k *Controller) answer(s *jobStatus) *protocol.JobStatus {
 	j, running := s.job, s.running
 	done := j.DoneCount()
 	st := &protocol.JobStatus{ID: j.Spec.ID, Status: j.State, Done: &done, Running: &running, Reason: s.reason, StartsInS: s.startsIn}
@@ -41,7 +41,7 @@
 func (k *Controller) Status(ctx context.Context, id string) (*protocol.JobStatus, error) {
 	known := k.owner.Known(ctx, id)
 	if known != nil && known.Final() {
-		return k.confirm(ctx, &jobStanding{job: known})
+		return k.confirm(ctx, &jobStatus{job: known})
 	}
 	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
 	defer cancel()
@@ -53,7 +53,7 @@
 		if !found.Final() && len(found.Spec.Needs) > 0 {
 			return nil, ErrLater // one of those may be cancelled, and it with it
 		}
-		return k.confirm(ctx, &jobStanding{job: found})
+		return k.confirm(ctx, &jobStatus{job: found})
 	}
 	if err := k.reader.Fresh(ctx); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 // said yet (membership.MayConfirm, MayTell): from then on its tasks have only so long to live, wherever
 // they are and whoever knows of it. Nor is a job called unfinished that is known to be cancelled by now:
 // another user may have been told so while the question waited for its read.
-func (k *Controller) confirm(ctx context.Context, s *jobStanding) (*protocol.JobStatus, error) {
+func (k *Controller) confirm(ctx context.Context, s *jobStatus) (*protocol.JobStatus, error) {
 	id := s.job.Spec.ID
 	switch {
 	case s.job.State == protocol.Cancelled:
@@ -203,7 +203,7 @@
 			return http.StatusNotFound, errors.New("no such job")
 		}
 	}
-	st, err := k.confirm(ctx, &jobStanding{job: j})
+	st, err := k.confirm(ctx, &jobStatus{job: j})
 	if err != nil {
 		return http.StatusServiceUnavailable, ErrLater
 	}
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -18,7 +18,7 @@
 
 // running is a report of a machine on which tasks run.
 func running(ticket uint64, token protocol.Token, tasks ...string) *protocol.Report {
-	r := report(1, ticket, token)
+	r := testReport(1, ticket, token)
 	for _, t := range tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t, Attempt: 3, State: protocol.TaskRunning})
 	}
@@ -74,10 +74,10 @@
 		if got := stopped(body); len(got) > 0 {
 			t.Errorf("stops %v", got)
 		}
-		w := h.byID["host-000004"]
+		w := h.workersByID["host-000004"]
 		w.commandInFlight = true // a direct command is under way, and stays so
-		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, token: protocol.NewToken(7, w.seq)}
-		under := protocol.NewToken(7, w.seq)
+		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, startToken: protocol.NewToken(7, w.tokenSeq)}
+		under := protocol.NewToken(7, w.tokenSeq)
 		over := *h.jobs["wk-1"]
 		over.Record, over.State = protocol.Cancelled, protocol.Cancelled
 		h.jobChanged(&over)
@@ -89,11 +89,11 @@
 			t.Errorf("%d stops %v under %+v, after %d", status, got, body, under)
 		}
 		// A job that is not known may be cancelled: nothing is renewed until it is looked up.
-		if status, _ := h.Report(running(7, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusServiceUnavailable {
+		if status, _ := h.Report(running(7, protocol.NewToken(7, w.tokenSeq), "wk-9/0")); status != http.StatusServiceUnavailable {
 			t.Errorf("a task of a job that is not known: %d", status)
 		}
 		h.jobChanged(pendingJob("wk-9"))
-		if status, _ := h.Report(running(8, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusOK {
+		if status, _ := h.Report(running(8, protocol.NewToken(7, w.tokenSeq), "wk-9/0")); status != http.StatusOK {
 			t.Errorf("a task of a job that is known by now: %d", status)
 		}
 	})
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -15,7 +15,7 @@
 	spot                        bool
 	slot                        *heldSlot
 	session, ticket             uint64
-	seq                         uint64
+	tokenSeq                    uint64
 	// highestToken is the highest token that it reported since its lease last surely ended; askedAfter
 	// the ticket last heard when the direct command under way was sent.
 	highestToken protocol.Token
@@ -76,12 +76,12 @@
 	state   string
 	cause   string
 	saved   bool
-	// token is that of the start command, as long as its outcome is open.
-	token         protocol.Token
-	until         time.Time // end of a reservation, of waiting for room, or of a place that is kept
+	// startToken is that of the start command, as long as its outcome is open.
+	startToken    protocol.Token
+	expiresAt     time.Time // end of a reservation, of waiting for room, or of a place that is kept
 	reservedAhead bool      // reserved before there is room for it
 	stopRequested bool
-	grace         float64
+	graceS        float64
 	lastSentAt    time.Time // when the last stop or forget was sent
 	// unanswered: the last direct command for it was, so that answers to reports repeat it.
 	unanswered      bool
@@ -96,8 +96,8 @@
 // openStart is a direct command to start an attempt of a task whose outcome is not known.
 type openStart struct {
 	attempt uint64
-	// until is when it is taken not to be under way any more.
-	until time.Time
+	// expiresAt is when it is taken not to be under way any more.
+	expiresAt time.Time
 }
 
 func (e *entry) unconfirmed() bool { return board.Unconfirmed(e.state) }
@@ -106,7 +106,7 @@
 
 // takesRoom tells whether nothing else may have its room: it is or may be there, or its place is
 // kept.
-func (e *entry) takesRoom() bool { return !e.exited() || !e.until.IsZero() }
+func (e *entry) takesRoom() bool { return !e.exited() || !e.expiresAt.IsZero() }
 
 // unresponsiveAfter is when a worker's silence tells of trouble: two regular reports
 // and the time to find another controller have passed.
@@ -143,7 +143,7 @@
 func (h *Holder) markLapsed(w *worker) {
 	w.lapsed, w.lapsedIn = true, w.session
 	// Should it have begun anew: whatever it shows from now on is newer than all before.
-	w.highestToken, w.seq = 0, w.seq+1
+	w.highestToken, w.tokenSeq = 0, w.tokenSeq+1
 	for _, e := range w.entries {
 		w.dropEntry(e, time.Now(), !h.isJobOver(e.job))
 	}
@@ -161,7 +161,7 @@
 // machine accepted it, and the task ran in two places (trace rebooted-while-commands-are-held).
 func (w *worker) dropEntry(e *entry, now time.Time, wanted bool) (changed bool) {
 	open, isOpen := w.openStarts[e.task]
-	if !isOpen || open.attempt != e.attempt || !now.Before(open.until) || !wanted || e.cause == protocol.CauseDone {
+	if !isOpen || open.attempt != e.attempt || !now.Before(open.expiresAt) || !wanted || e.cause == protocol.CauseDone {
 		delete(w.entries, e.task)
 		return true
 	}
@@ -178,7 +178,7 @@
 // lapsed, nothing else kept the tasks that they start; otherwise the next report tells.
 func (h *Holder) expireOpenStarts(w *worker, now time.Time) {
 	for task, open := range w.openStarts {
-		if now.Before(open.until) {
+		if now.Before(open.expiresAt) {
 			continue
 		}
 		delete(w.openStarts, task)
@@ -191,17 +191,17 @@
 
 // noteResponsiveness finds out whether a worker is silent, or answers directly while its reports don't come.
 func (h *Holder) noteResponsiveness(w *worker, now time.Time) {
-	// While this controller answers nobody, nobody is silent: after an outage of the
+	// While this controller answeringFor nobody, nobody is silent: after an outage of the
 	// state service, a small fleet's machines were given back as lost, with their results.
-	answers := min(now.Sub(w.slot.adopted), now.Sub(h.lastNotAnswering))
-	unheard := min(now.Sub(w.lastHeard), answers)
-	quiet := unheard > h.unresponsiveAfter() || w.ack.isOverdue(now, h.unresponsiveAfter())
-	mute := !quiet && min(now.Sub(w.reported), answers) > h.unresponsiveAfter()
-	if quiet != w.unresponsive || mute != w.reportsLost {
-		w.unresponsive, w.reportsLost = quiet, mute
+	answeringFor := min(now.Sub(w.slot.adopted), now.Sub(h.lastNotAnswering))
+	sinceHeard := min(now.Sub(w.lastHeard), answeringFor)
+	unresponsive := sinceHeard > h.unresponsiveAfter() || w.ack.isOverdue(now, h.unresponsiveAfter())
+	reportsLost := !unresponsive && min(now.Sub(w.reported), answeringFor) > h.unresponsiveAfter()
+	if unresponsive != w.unresponsive || reportsLost != w.reportsLost {
+		w.unresponsive, w.reportsLost = unresponsive, reportsLost
 		h.markChanged(w)
 	}
-	if !quiet && !w.lapsed && unheard > 2*h.cfg.ReportEvery() {
+	if !unresponsive && !w.lapsed && sinceHeard > 2*h.cfg.ReportEvery() {
 		h.probeWorker(w) // it may be that its reports alone don't come
 	}
 }
@@ -213,12 +213,12 @@
 		if h.changedJobs[e.job] {
 			e.lastSentAt, w.settled = time.Time{}, false // what was sent may no longer be what is wanted
 		}
-		if (e.state == board.TaskReserved || e.state == board.TaskQueued) && now.After(e.until) {
+		if (e.state == board.TaskReserved || e.state == board.TaskQueued) && now.After(e.expiresAt) {
 			delete(w.entries, name)
 			h.markChanged(w)
 		}
-		if e.exited() && !e.until.IsZero() && now.After(e.until) {
-			e.until = time.Time{}
+		if e.exited() && !e.expiresAt.IsZero() && now.After(e.expiresAt) {
+			e.expiresAt = time.Time{}
 			h.markChanged(w)
 		}
 	}
