--- a/internal/coordination/acks.go
+++ b/internal/coordination/acks.go
@@ -13,8 +13,7 @@
 // answers after 4 s, so a report with a lower token than that of the answer to the previous report
 // proves that this answer was not received and never will be.
 
-// ackState is what is known of whether a worker receives what it is sent. The zero value: nothing
-// indicates that it does not.
+// ackState tracks whether a worker receives what it is sent. The zero value shows no sign of trouble.
 type ackState struct {
 	// requiredToken is the token that a report must show before the worker is used again, and
 	// requiredSince the time from which it is required.
@@ -24,13 +23,12 @@
 	unacked int
 }
 
-// maxUnackedAnswers is how many answers in a row may go unreceived before the worker gets none until
-// it acknowledges one: while answers are sent one of them might renew its lease, which would then
-// never surely lapse.
+// maxUnackedAnswers is how many answers in a row may be lost before the worker gets no more until it
+// acknowledges one: each further answer might renew its lease, which would then never surely lapse.
 const maxUnackedAnswers = 3
 
-// requireAck has the worker show a token before it is used again. It reports whether none was
-// required so far.
+// requireAck makes the worker show a token before it is used again. It reports whether no acknowledgement was
+// required before.
 func (a *ackState) requireAck(token protocol.Token, now time.Time) (first bool) {
 	if first = a.requiredSince.IsZero(); first {
 		a.requiredSince = now
@@ -39,7 +37,7 @@
 	return first
 }
 
-// observe takes in the token of a report. It reports whether that was the acknowledgement required.
+// observe takes in the token of a report. It reports whether this was the required acknowledgement.
 func (a *ackState) observe(token protocol.Token) (acked bool) {
 	if a.requiredSince.IsZero() || token < a.requiredToken {
 		return false
@@ -51,22 +49,22 @@
 // awaitsAck reports whether an acknowledgement is required.
 func (a *ackState) awaitsAck() bool { return !a.requiredSince.IsZero() }
 
-// isOverdue reports whether an acknowledgement has been required for longer than a time, so that
-// the worker counts as silent.
+// isOverdue reports whether an acknowledgement has been required for longer than after, so that the worker
+// counts as silent.
 func (a *ackState) isOverdue(now time.Time, after time.Duration) bool {
 	return a.awaitsAck() && now.Sub(a.requiredSince) > after
 }
 
-// ignoresAnswers reports whether answers are of no use.
+// ignoresAnswers reports whether so many answers in a row were lost that the worker gets no more.
 func (a *ackState) ignoresAnswers() bool { return a.unacked >= maxUnackedAnswers }
 
-// noteAck takes in what a report of the same session shows about the answer to the previous one.
+// noteAck takes in what a report shows about the answer to the previous report of the same session.
 func (h *Holder) noteAck(w *worker, shown protocol.Token) {
 	if w.unackedAnswer.IsZero() {
 		return
 	}
 	if shown < w.unackedAnswerToken {
-		// It renewed nothing (invariant 4).
+		// The answer renewed nothing (invariant 4).
 		w.ack.unacked++
 		if w.ack.requireAck(w.unackedAnswerToken, time.Now()) {
 			h.markChanged(w)
@@ -77,8 +75,8 @@
 	w.unackedAnswer = time.Time{}
 }
 
-// lastPossibleRenewal is when somebody lastPossibleRenewal to it last gave the machine an answer that may have
-// renewed its lease, as far as this holder is concerned.
+// lastPossibleRenewal is the latest time at which an answer may have renewed the machine's lease: one of this
+// holder's, or one of a former holder's until this one took the slot.
 func (w *worker) lastPossibleRenewal() time.Time {
 	at := w.slot.adopted
 	for _, t := range []time.Time{w.lastAnswer, w.unackedAnswer} {
@@ -89,10 +87,10 @@
 	return at
 }
 
-// probeInterval is how often a machine is asked at most for no other reason than its messages.
+// probeInterval is the shortest time between two probes of a machine.
 const probeInterval = 5 * time.Second
 
-// probeWorker asks a machine directly: what it answers is newer than all that came before.
+// probeWorker asks a machine directly for a report, which is newer than all that came before.
 func (h *Holder) probeWorker(w *worker) {
 	if time.Since(w.probedAt) >= probeInterval {
 		w.probeDue = true
@@ -100,13 +98,13 @@
 	}
 }
 
-// answerStaleReport answers a report that is older by its numbers than what was heard: a copy, or one that was
-// held up on its way, whose answer nobody hears, or its worker began anew and counts from the
-// beginning. Then it takes whatever was sent to it before until it is told a token of this holder's,
-// so that is what it gets at once. A token that nobody else is told shows in its next report
-// which of the two it was; until then the report is no news. What it runs that is not
-// expected there was started by a command from before, and goes. While a direct command with
-// starts is waited for, no new token is given out, since the next answer's would void it.
+// answerStaleReport answers a report that is older by its numbers than what was heard. It is a copy, or was
+// delayed so that nobody receives its answer, or its worker restarted and counts from the beginning. A
+// restarted worker accepts any earlier command until it gets a token of this holder, so the answer gives it
+// one at once. No other message uses this token: if the next report shows it, the worker restarted; until
+// then the report is not taken in. Tasks in the report that are not expected there were started by an earlier
+// command and are stopped. While a direct command with starts is in flight no new token is given, because the
+// next answer's token would void that command.
 func (h *Holder) answerStaleReport(w *worker, rep *protocol.Report) (status int, body any) {
 	commands, known := h.cancellationStops(w, rep)
 	if !known || w.ack.ignoresAnswers() || w.commandInFlight && w.commandHasStarts {
@@ -120,16 +118,16 @@
 	}
 	w.tokenSeq++
 	w.restartToken = protocol.NewToken(w.slot.term, w.tokenSeq)
-	w.tokenSeq++ // nothing else is sent under that token
+	w.tokenSeq++ // no other message uses that token
 	w.lastAnswer = time.Now()
 	return http.StatusOK, protocol.ReportAnswer{Token: w.restartToken, Commands: commands}
 }
 
-// noteRestart takes in that a machine's direct answer has lower numbers than what was heard of it,
-// though nothing came since it was asked, or that it shows a token which only a worker that
-// remembers nothing was told: it counts from the beginning. Its lease may count from
-// any time before now: counted from the last answer, it was once over for this holder and not for
-// what had been started since. Before it is used again it shows a token newer than all before.
+// noteRestart takes in that a machine restarted and counts from the beginning: its direct answer has lower
+// numbers than what was heard of it although nothing arrived since the command was sent, or it shows a token
+// that only a restarted worker was given. Its lease may count from any time before now. (Counted from the
+// last answer, it ended for this holder while tasks started since still ran.) Before the machine is used
+// again it must show a token newer than all before.
 func (h *Holder) noteRestart(w *worker, rep *protocol.Report) {
 	slog.Info("machine began anew", "machine", w.id, "was", w.session, "is", rep.Session)
 	now := time.Now()
--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -18,8 +18,8 @@
 	"daledyke/internal/transport"
 )
 
-// newTestHolder is a holder with the one slot that a machine is in, taken a moment ago under a
-// term; what ran there is not known yet.
+// newTestHolder returns a holder with one slot, that of a machine, just taken under a term. The machine's
+// tasks are not known yet.
 func newTestHolder(ctx context.Context, c *config.Config, dial transport.Dialer, term uint64, machine string) (*Holder, *heldSlot) {
 	h := NewHolder(ctx, c, &Session{base: time.Now()}, nil, transport.NewWorkers(dial, c.ToWorkers()))
 	h.session.validUntil.Store(int64(time.Hour))
@@ -33,7 +33,8 @@
 
 func refuseDial(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 
-// serveWorker has a machine take direct commands, which a holder reaches by dial, until end.
+// serveWorker serves a machine's direct commands with do, until end is called. A holder reaches the machine
+// by dial.
 func serveWorker(do http.HandlerFunc) (ctx context.Context, dial transport.Dialer, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	pipes := emulator.NewPipes(ctx)
@@ -47,7 +48,7 @@
 	}
 }
 
-// runQueuedAndTick has the holder do what it was runQueuedAndTick, and look around; it follows the records meanwhile.
+// runQueuedAndTick runs the functions queued on the holder and one tick, with records that are up to date.
 func (h *Holder) runQueuedAndTick() {
 	h.synced(time.Now())
 	synctest.Wait()
@@ -61,7 +62,7 @@
 	return &protocol.Report{Machine: "host-000004", Addr: "worker-x:1", Type: "small", Zone: "a", Session: session, Ticket: ticket, Token: token}
 }
 
-// withHolder has a test play with such a holder, which reaches no machine, in virtual time.
+// withHolder runs a test in virtual time with such a holder, which reaches no machine.
 func withHolder(t *testing.T, play func(t *testing.T, c *config.Config, h *Holder, s *heldSlot)) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
 	if err != nil {
@@ -75,9 +76,9 @@
 	})
 }
 
-// A new holder answers a machine's first report, and then hears nothing of it. The machine
-// may have heard the answer and run on for a lease from then on; all others are surely empty
-// a lease after the slot was taken. Once it was taken for empty with them.
+// A new holder answers a machine's first report and hears nothing more of the machine. It may have received
+// the answer and keep its tasks for a lease from then on, while all others are surely empty a lease after the
+// slot was taken. It must not count as empty together with them.
 func TestPossiblyReceivedAnswerExtendsLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		lease := config.Surely(c.WorkerLease())
@@ -87,18 +88,18 @@
 		}
 		time.Sleep(lease - 2*time.Second)
 		if h.runQueuedAndTick(); s.complete {
-			t.Error("the machine may still run what it ran")
+			t.Error("slot complete while the machine may still run its tasks")
 		}
 		time.Sleep(3 * time.Second)
 		h.runQueuedAndTick()
 		if h.runQueuedAndTick(); !s.complete {
-			t.Error("no lease lasts as long as that")
+			t.Error("slot incomplete after every lease has lapsed")
 		}
 	})
 }
 
-// A machine whose reports come and that hears no answer is waited for no longer than its
-// answers could have renewed its lease: not for as long as its reports come.
+// A machine whose reports arrive but which receives no answers is awaited no longer than its answers could
+// have renewed its lease, rather than for as long as its reports arrive.
 func TestUnreceivedAnswersDoNotRenewLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		for n := range uint64(40) {
@@ -111,11 +112,11 @@
 				return
 			}
 		}
-		t.Error("it is waited for for ever")
+		t.Error("the slot never became complete")
 	})
 }
 
-// A machine whose new session a direct command told of first has its lease ahead of it.
+// A session that is first seen in a direct answer has its whole lease ahead.
 func TestNewSessionGetsFullLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
@@ -127,14 +128,13 @@
 			t.Errorf("%+v", w)
 		}
 		if status, _ := h.Report(testReport(2, 10, protocol.NewToken(7, 1))); status != http.StatusOK || s.term != 7 {
-			t.Error("it is turned away", status)
+			t.Error("report refused:", status)
 		}
 	})
 }
 
-// A machine that began anew, unseen, is first heard by its answer to a direct command, which starts
-// a task there. Its lease counts from when it began, which may be a moment ago: not from what was
-// answered before.
+// A machine that restarted unnoticed is first heard by its answer to a direct command, which starts a task
+// there. Its lease counts from the restart, which may be a moment ago, and not from earlier answers.
 func TestRestartedMachineGetsFullLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
@@ -145,10 +145,10 @@
 		w.commandInFlight, w.ticketAtSend, w.ack = true, w.ticket, ackState{}
 		o := protocol.Orders{Token: protocol.NewToken(7, 9), Session: 2, Commands: []protocol.Command{{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3}}}
 		w.tokenSeq = 9
-		// Refused, since its session is another: the next one is sent to that.
+		// Refused, since the machine has another session: the next command names that one.
 		h.commandAnswered(w, o, testReport(1, 2, 0), false, nil)
 		if w.session != 1 || h.startable(w) {
-			t.Errorf("it is used before it showed that it hears: %+v", w)
+			t.Errorf("used before it acknowledged an answer: %+v", w)
 		}
 		w.tokenSeq++
 		o = protocol.Orders{Token: protocol.NewToken(7, w.tokenSeq), Session: 1, Commands: o.Commands}
@@ -159,18 +159,18 @@
 		h.commandAnswered(w, o, running, true, nil)
 		time.Sleep(c.WorkerLease() - time.Second)
 		if h.runQueuedAndTick(); w.lapsed || w.entries["wk-1/0"] == nil {
-			t.Errorf("taken for gone: %+v", w)
+			t.Errorf("its task was dropped: %+v", w)
 		}
 		time.Sleep(2 * time.Second)
 		if h.runQueuedAndTick(); !w.lapsed {
-			t.Error("no lease lasts as long as that")
+			t.Error("the lease has not lapsed")
 		}
 	})
 }
 
-// A command that was never sent, for want of a connection, says nothing of its machine: what it
-// was to start waits on, and the machine is not doubted. (Once many machines that were silent
-// together held all connections, and healthy ones were held for deaf.)
+// A command that was never sent, for want of a connection, says nothing of its machine: the tasks to be
+// started wait on, and no acknowledgement is required. (Otherwise, when many silent machines hold all
+// connections, healthy machines count as receiving nothing.)
 func TestUnsentCommandRequiresNoAck(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
@@ -190,18 +190,18 @@
 		if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskStarting || !w.ack.awaitsAck() {
 			t.Errorf("unanswered: %+v of %+v", e, w)
 		}
-		// It may be carried out late, until the machine has heard of a higher token.
+		// The command may be carried out late, until the machine has seen a higher token.
 		h.jobs["wk-1"] = pendingJob("wk-1")
 		if _, body := h.Report(testReport(1, 7, protocol.NewToken(7, 1))); body.(protocol.ReportAnswer).Token <= o.Token {
-			t.Errorf("the next answer fences nothing: %+v after %d", body, o.Token)
+			t.Errorf("the next answer does not fence the command: %+v after %d", body, o.Token)
 		}
 	})
 }
 
-// A machine that had come to its third session begins anew, with numbers from the beginning. Its
-// next holder knows what runs there by then. What was sent before and comes only now has a higher
-// session, and is older all the same, as its token shows: it doesn't prove that anything ended.
-// Once it did, and the tasks were started again elsewhere beside those that ran on.
+// A machine in its third session restarts and counts from the beginning. Its next holder knows its tasks by
+// then. A report from before the restart that arrives only now has a higher session but is older, as its
+// token shows: it does not prove that a task ended. If it did, the tasks would be started again elsewhere
+// while they still run.
 func TestStaleCopyAfterRestartDropsNoTask(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
@@ -211,39 +211,39 @@
 		running := testReport(1, 4, protocol.NewToken(7, w.tokenSeq))
 		running.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 1, State: protocol.TaskRunning}}
 		if status, _ := h.Report(running); status != http.StatusOK || w.entries["wk-1/0"] == nil {
-			t.Fatal("it is not believed", status)
+			t.Fatal("report not taken in:", status)
 		}
 		answered := w.lastPossibleRenewal()
 		time.Sleep(time.Second)
 		for _, old := range []*protocol.Report{testReport(3, 50, protocol.NewToken(5, 9)), testReport(1, 50, protocol.NewToken(5, 9))} {
-			// The answer, which only a worker that began anew once more would hear, tells it a token,
-			// and its lease counts as renewed; nothing is started by it, and nothing else follows.
+			// Only a worker that restarted once more would receive the answer. It contains a token, and the
+			// machine's lease counts as renewed; it starts nothing and has no other effect.
 			_, body := h.Report(old)
 			if len(carriedTasks(body, protocol.VerbStart)) != 0 || w.entries["wk-1/0"] == nil || w.session != 1 || w.ticket != 4 || !h.startable(w) || w.lastPossibleRenewal().Before(answered) {
 				t.Errorf("session %d: %+v, %+v", old.Session, body, w)
 			}
 		}
-		// What it reports itself counts as before.
+		// The machine's own next report counts as before.
 		running.Ticket++
 		if status, _ := h.Report(running); status != http.StatusOK {
-			t.Error("it is turned away", status)
+			t.Error("report refused:", status)
 		}
-		// And so does one that comes after a session that ended, also where the machine began
-		// anew unseen: whatever it shows from then on is newer than all before.
+		// So does a report after a session that ended, also if the machine restarted unnoticed: whatever it
+		// shows from then on is newer than all before.
 		shown := w.tokenSeq
 		time.Sleep(config.Surely(c.WorkerLease()) + time.Second)
 		if h.runQueuedAndTick(); !w.lapsed {
-			t.Fatal("no lease lasts as long as that")
+			t.Fatal("the lease has not lapsed")
 		}
-		w.lastHeard = time.Now() // as one that was answered in vain
+		w.lastHeard = time.Now() // as after a report whose answer was lost
 		if status, body := h.Report(testReport(2, 3, 0)); status != http.StatusOK || body.(protocol.ReportAnswer).Token <= protocol.NewToken(7, shown) {
-			t.Error("it is not heard again under a token of its own", status, body)
+			t.Error("report refused, or answered without a new token:", status, body)
 		}
 	})
 }
 
-// A machine whose reports don't come, but which answers directly, is alive: it is not given back
-// with what it runs, and gets nothing new, since its lease may end.
+// A machine whose reports do not arrive, but which answers directly, is alive: it is not returned with its
+// tasks, and gets no new ones, since its lease may end.
 func TestMachineWithLostReportsIsNeitherUsedNorReturned(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
@@ -261,28 +261,29 @@
 			}
 		}
 		if asked < 2 || asked > 6 {
-			t.Errorf("asked %d times", asked)
+			t.Errorf("probed %d times", asked)
 		}
 		if status, _ := h.Report(testReport(1, ticket+1, protocol.NewToken(7, w.tokenSeq))); status != http.StatusOK {
-			t.Error("it is turned away", status)
+			t.Error("report refused:", status)
 		}
 		if h.runQueuedAndTick(); w.reportsLost || w.unresponsive {
-			t.Errorf("it is not heard again: %+v", w)
+			t.Errorf("its reports still count as lost: %+v", w)
 		}
 	})
 }
 
-// A machine that began anew, with numbers from the beginning, is asked once it was not heard for
-// two reports, and is known again by what it answers: not when its numbers have caught up.
+// A restarted machine, which counts from the beginning, is probed once two of its reports were missed, and
+// its answer makes it known again: this does not wait until its numbers have caught up.
 func TestRestartedMachineIsProbed(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(3, 50, protocol.NewToken(7, 1)))
 		h.runQueuedAndTick()
 		w, begin := h.workersByID["host-000004"], time.Now()
 		for ticket := uint64(1); w.session == 3 && time.Since(begin) < c.WorkerLease(); ticket++ {
-			// It is told a token, in case it hears, and no more; what it says is not taken in.
+			// The answer contains a token, in case the machine receives it, and starts nothing; the report is
+			// not taken in.
 			if _, body := h.Report(testReport(1, ticket, 0)); len(carriedTasks(body, protocol.VerbStart)) != 0 || w.session != 3 || w.ticket != 50 {
-				t.Fatalf("it is taken at its word: %+v", w)
+				t.Fatalf("its report was taken in: %+v", w)
 			}
 			time.Sleep(time.Second)
 			h.runQueuedAndTick()
@@ -295,13 +296,13 @@
 			t.Errorf("after %v: %+v", since, w)
 		}
 		if status, _ := h.Report(testReport(1, 100, 0)); status != http.StatusOK {
-			t.Error("it is turned away", status)
+			t.Error("report refused:", status)
 		}
 	})
 }
 
-// That a holder's machines report elsewhere is shown by messages that it has not heard, made since
-// it took the slot: not by copies of old ones. A version that doesn't tell is taken to have seen some.
+// Only reports that a holder has not heard, made since it took the slot, show that its machines report
+// elsewhere; copies of old reports do not. A version that tells of no strays is assumed to have seen some.
 func TestCopiedReportsAreNotStrays(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
@@ -316,8 +317,8 @@
 			{"a copy", board.Stray{Machine: "host-000004", Session: 2, Ticket: 5}, true, false},
 			{"of a former session", board.Stray{Machine: "host-000004", Session: 1, Ticket: 9}, true, false},
 			{"before the slot was taken", board.Stray{Machine: "host-000004", Session: 2, Ticket: 6, AgoMs: 6000}, true, false},
-			{"one that is news", board.Stray{Machine: "host-000004", Session: 2, Ticket: 6, AgoMs: 1000}, true, true},
-			{"the version before", board.Stray{}, false, true},
+			{"a new report", board.Stray{Machine: "host-000004", Session: 2, Ticket: 6, AgoMs: 1000}, true, true},
+			{"an older version", board.Stray{}, false, true},
 		} {
 			h.reportedElsewhereAt = time.Time{}
 			if h.noteMisrouted(c.stray, c.told, time.Now()); !h.reportedElsewhereAt.IsZero() != c.news {
@@ -327,14 +328,13 @@
 		h.reportedElsewhereAt = time.Time{}
 		delete(h.slots, s.slot)
 		if h.noteMisrouted(board.Stray{Machine: "host-000004", Session: 2, Ticket: 6}, true, time.Now()); !h.reportedElsewhereAt.IsZero() {
-			t.Error("of a slot that is held no more")
+			t.Error("counted for a slot that is no longer held")
 		}
 	})
 }
 
-// A machine that left a command unanswered is asked once more soon after, so that what became of
-// the command is known before its next reports tell; one that leaves the question unanswered as
-// well is not asked over and over.
+// A machine that left a command unanswered is probed soon after, so that the command's outcome is known
+// before the next reports. A machine that leaves the probe unanswered as well is not probed over and over.
 func TestUnansweredCommandIsProbedOnce(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
@@ -343,25 +343,25 @@
 		lost := protocol.Orders{Token: protocol.NewToken(7, w.tokenSeq), Session: 1, Commands: []protocol.Command{{Verb: protocol.VerbStop, Task: "wk-1/0", Attempt: 1}}}
 		h.commandAnswered(w, lost, nil, false, errors.New("no answer"))
 		if !w.ack.awaitsAck() || !w.probeDue {
-			t.Fatalf("nothing is asked: %+v", w)
+			t.Fatalf("no probe is due: %+v", w)
 		}
 		was := w.tokenSeq
-		for range 8 { // the rest is what the actor does
+		for range 8 { // the actor does the rest
 			time.Sleep(250 * time.Millisecond)
 			h.runQueuedAndTick()
 		}
 		if w.tokenSeq == was || w.probeDue {
-			t.Errorf("it was not asked after 2 s: %+v", w)
+			t.Errorf("not probed within 2 s: %+v", w)
 		}
 		w.commandInFlight = false
 		h.commandAnswered(w, protocol.Orders{Token: protocol.NewToken(7, w.tokenSeq), Session: 1}, nil, false, errors.New("no answer"))
 		if w.probeDue {
-			t.Error("it is asked at once again")
+			t.Error("a second probe is due at once")
 		}
 		answer := testReport(1, 9, protocol.NewToken(7, w.tokenSeq))
 		h.commandAnswered(w, protocol.Orders{Session: 1}, answer, true, nil)
 		if w.ack.awaitsAck() {
-			t.Error("its answer does not count")
+			t.Error("its answer is no acknowledgement")
 		}
 	})
 }
--- a/internal/coordination/actor.go
+++ b/internal/coordination/actor.go
@@ -1,7 +1,7 @@
-// Package coordination decides what runs where. Its parts are actors: session
-// (a controller's standing), holder (the workers assigned to this controller),
-// owner (the jobs in this controller's range of the ring) and leader (windows,
-// assignments of slots, renting). Each owns its state; they talk through their inboxes.
+// Package coordination decides which tasks run where. Its parts are actors: session (whether the controller
+// may act), holder (the workers of the slots that this controller holds), owner (the jobs in this
+// controller's range of the ring) and leader (windows, assignments of slots, renting). Each owns its state;
+// they communicate through their inboxes.
 package coordination
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// actor runs what it is told, one thing after the other.
+// actor runs the functions in its inbox one after the other.
 type actor struct {
 	inbox chan func()
 	ctx   context.Context
@@ -19,7 +19,7 @@
 	return actor{inbox: make(chan func(), 1024), ctx: ctx}
 }
 
-// tell queues f; it is dropped once the actor has ended.
+// tell queues f, which is dropped once the actor has ended.
 func (a *actor) tell(f func()) {
 	select {
 	case a.inbox <- f:
@@ -27,8 +27,8 @@
 	}
 }
 
-// ask runs f on the actor and waits for it; false if ctx ended first, in
-// which case f may still run later.
+// ask runs f on the actor and waits for it; false if ctx or the actor ended first, in which case f may still
+// run later.
 func (a *actor) ask(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	g := func() { f(); close(done) }
@@ -49,8 +49,8 @@
 	}
 }
 
-// askFor has f run on an actor and gives what it returns; false if ctx ended
-// first, in which case nothing is given, however late f runs.
+// askFor runs f on an actor and returns its result; false if ctx or the actor ended first, in which case
+// there is no result even if f runs later.
 func askFor[T any](ctx context.Context, a *actor, f func() T) (t T, ok bool) {
 	answer := make(chan T, 1)
 	if !a.ask(ctx, func() { answer <- f() }) {
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -9,31 +9,30 @@
 	"daledyke/internal/protocol"
 )
 
-// What a holder does for owners: the admission check.
+// Admission: what a holder checks before it starts tasks for owners.
 
-// startable tells whether tasks may be started on a machine.
+// startable reports whether tasks may be started on a machine.
 func (h *Holder) startable(w *worker) bool { return h.usable(w) && !w.ack.awaitsAck() }
 
-// usable tells whether tasks may be started on a machine that hears.
+// usable reports whether tasks may be started on a machine, provided that it receives answers.
 func (h *Holder) usable(w *worker) bool {
 	return w.verified && w.slot.ready && !w.lapsed && !w.unresponsive && !w.reportsLost && !w.reclaimNotice && w.quarantinedSince.IsZero() && !w.suspect && h.registry[w.id] != nil &&
 		w.slot.roster[protocol.MachineNumber(w.id)] && time.Now().After(w.drainUntil)
 }
 
-// maxRecordsAge bounds how old the holder's picture of job states may be when it
-// starts a task.
+// maxRecordsAge bounds the age of the job records by which a holder starts a task.
 const maxRecordsAge = 10 * time.Second
 
-// handleAsk carries out an owner's request: the admission check (invariant 5).
+// handleAsk carries out an owner's request with the admission check (invariant 5); false if the request is
+// void or the holder may not act.
 func (h *Holder) handleAsk(a *AskArgs) (r AskReply, ok bool) {
 	h.adoptWindowUpTo(a.Window)
 	if a.ID < h.fences[a.Caller] || h.window == nil || a.Window > h.window.Number || !h.session.Valid() {
 		return r, false
 	}
 	if a.Window < h.ownersSince {
-		// A caller that was cut off may still go by a window from before it
-		// lost its range, and have got the range back since: what it knows
-		// leaves out what others started in between.
+		// A caller that was cut off may still use a window from before it lost its range, and may have got
+		// the range back since: it does not know what others started in between.
 		return r, false
 	}
 	for _, st := range a.Stops {
@@ -64,7 +63,7 @@
 	return r, true
 }
 
-// admitStart admits a task to a machine, or tells why not.
+// admitStart admits a task to a machine, or returns why not.
 func (h *Holder) admitStart(a *AskArgs, st Start, now time.Time) (refusal string) {
 	w := h.workersByID[st.Machine]
 	jobID, index, ok := protocol.SplitTask(st.Task)
@@ -79,13 +78,12 @@
 	if refusal := h.machineRefusal(w, j, st, reserved); refusal != "" {
 		return refusal
 	}
-	// What was reserved had its permit.
+	// A reservation already had its permit.
 	if team := j.Spec.Team; reserved == nil && h.quotas.Has(team) && !h.permits(st.Permit, team) {
 		return "no permit"
 	}
 	delete(w.entries, st.Task)
-	// What was reserved was granted; its room may still be in use by tasks that
-	// were told to make way.
+	// A reservation has its room already, though tasks that were told to make way may still use it.
 	if ahead := st.Reserve && st.Ahead; ahead && w.hasReservedAhead(st.Task) {
 		return "kept for another"
 	} else if reserved == nil && !ahead && !h.roomAfterEvictions(w, st).Fits(j.Spec.Need()) {
@@ -100,16 +98,16 @@
 	return ""
 }
 
-// queueTimeout is for how long a task that was admitted waits for room to come free.
+// queueTimeout is how long an admitted task waits for room.
 const queueTimeout = 20 * time.Second
 
-// jobRefusal tells why a task of a job is not to be started for a caller, wherever.
+// jobRefusal returns why a task of a job may not be started for a caller on any machine, "" if it may.
 func (h *Holder) jobRefusal(caller string, j *bookkeeping.Job, index int, now time.Time) string {
 	switch {
 	case j == nil || h.isJobOver(j.Spec.ID) || index >= j.Spec.Tasks || j.TaskDone(index):
 		return "not to be run"
 	case j.Waits > 0:
-		return "waits for other jobs" // what is not known to be done is not
+		return "waits for other jobs" // a job counts as unfinished until it is known to be done
 	case h.window.OwnerOf(j, index) != caller:
 		return "not the owner"
 	case now.Sub(h.syncedAt) > maxRecordsAge:
@@ -118,7 +116,8 @@
 	return ""
 }
 
-// machineRefusal tells why a task is not to be started on a machine, where its room may be reserved.
+// machineRefusal returns why a task may not be started on a machine, "" if it may; reserved is its entry
+// there, if any.
 func (h *Holder) machineRefusal(w *worker, j *bookkeeping.Job, st Start, reserved *entry) string {
 	switch {
 	case st.Term != 0 && st.Term != w.slot.term:
@@ -130,14 +129,14 @@
 	case reserved != nil && !(reserved.state == board.TaskReserved && reserved.attempt == st.Attempt):
 		return "already there"
 	case !st.Reserve && h.isOnOtherWorker(w, st.Task):
-		// Room may be reserved for a task that runs elsewhere and is about to be moved: nothing
-		// starts by that. Before it does, the task must be gone from there.
+		// Room may be reserved for a task that runs elsewhere and is about to be moved, since a reservation
+		// starts nothing. Before the task is started here it must be gone from there.
 		return "elsewhere here"
 	}
 	return ""
 }
 
-// isOnOtherWorker tells whether a task may be on another machine of this holder's.
+// isOnOtherWorker reports whether a task may be on another machine of this holder.
 func (h *Holder) isOnOtherWorker(w *worker, task string) bool {
 	for _, other := range h.workersByID {
 		if e := other.entries[task]; other != w && e != nil && !e.exited() && e.state != board.TaskReserved {
@@ -147,7 +146,7 @@
 	return false
 }
 
-// roomAfterEvictions is the room on a machine once the tasks that are to make way for a start are gone.
+// roomAfterEvictions is the free room on a machine once the tasks that a start evicts are gone.
 func (h *Holder) roomAfterEvictions(w *worker, st Start) protocol.Room {
 	room := h.freeRoom(w, true)
 	for _, name := range st.Evict {
@@ -158,7 +157,7 @@
 	return room
 }
 
-// evict has tasks make way, with the time that they need to save.
+// evict stops tasks to make room, with the time that they need to save.
 func (h *Holder) evict(w *worker, tasks []string) {
 	for _, name := range tasks {
 		victim := w.entries[name]
@@ -172,7 +171,7 @@
 	}
 }
 
-// hasReservedAhead tells whether what comes free on a machine is kept for another task already.
+// hasReservedAhead reports whether room that comes free on a machine is reserved for another task already.
 func (w *worker) hasReservedAhead(task string) bool {
 	for name, e := range w.entries {
 		if name != task && e.reservedAhead && e.state == board.TaskReserved {
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -13,26 +13,26 @@
 	"daledyke/internal/protocol"
 )
 
-// userClient is a user of one job who asks all controllers again and again, and several at a time. It
-// knows what had been answered when it asked, so that an answer that is older than that shows.
+// userClient is a user of one job who queries all controllers again and again, with several requests at a
+// time. It records what had been answered when it sent each request, so that it detects an older answer.
 type userClient struct {
 	w   *world
 	rng *rand.Rand
 	job *protocol.JobSpec
-	// accepted and final are what any answer said so far.
+	// accepted and finalStatus are what any answer said so far.
 	accepted    bool
 	finalStatus string
-	// lastTaskDone is told when the job's last task has its result.
+	// lastTaskDone is closed when the job's last task has its result.
 	lastTaskDone chan struct{}
 }
 
-// latestAnswers is what any answer said so far.
+// latestAnswers returns what any answer said so far.
 func (a *userClient) latestAnswers() (accepted bool, final string) {
 	a.w.em.Rules(func(*history.Checker) { accepted, final = a.accepted, a.finalStatus })
 	return accepted, final
 }
 
-// send makes one request of a controller.
+// send sends one request to a controller.
 func (a *userClient) send(node, method, path string, body any) {
 	accepted, final := a.latestAnswers()
 	status, raw, err := a.w.call("user", method, "front-"+node+path, body, 5*time.Second)
@@ -50,13 +50,13 @@
 	}
 	known := status == 200 || status == 201
 	if accepted && !known {
-		a.w.t.Errorf("%s %s %s at %s: %d, though it had been accepted", method, path, a.job.ID, node, status)
+		a.w.t.Errorf("%s %s %s at %s: %d after the job had been accepted", method, path, a.job.ID, node, status)
 	}
 	if final != "" && known && st.Status != final {
-		a.w.t.Errorf("%s %s at %s: %s, though it had been called %s", method, path, node, st.Status, final)
+		a.w.t.Errorf("%s %s at %s: %s after it had been %s", method, path, node, st.Status, final)
 	}
 	a.w.em.Rules(func(r *history.Checker) {
-		if a.finalStatus == final || st.Status == a.finalStatus { // the rules know of one question at a time
+		if a.finalStatus == final || st.Status == a.finalStatus { // the rules allow for one request at a time
 			r.Note(history.Event{At: a.w.em.Since(), Kind: kind, Job: a.job.ID, Code: status, Status: st.Status})
 		}
 		a.accepted = a.accepted || known
@@ -76,8 +76,8 @@
 	return final != ""
 }
 
-// burst asks every controller within some milliseconds, repeats the submission at one and, if it
-// is to be cancelled, does so at one; what comes first is drawn.
+// burst queries every controller within some milliseconds, repeats the submission twice and, if cancel is
+// set, cancels the job; the controllers of these and the order are random.
 func (a *userClient) burst(cancel bool) {
 	var all []func()
 	for _, node := range a.w.names {
@@ -100,8 +100,8 @@
 	}
 }
 
-// run is the life of a user with one job: asked about right after it was accepted, cancelled or
-// at its end, and later.
+// run submits the user's job and queries it right after it was accepted, when it is cancelled or ends, and
+// later.
 func (a *userClient) run(cancelAt int) {
 	for a.send(a.w.names[a.rng.IntN(len(a.w.names))], http.MethodPost, "/v1/jobs", a.job); !a.isAccepted(); {
 		time.Sleep(time.Second)
@@ -134,16 +134,16 @@
 	cancelAtEnd
 )
 
-// Users ask all controllers at once, repeat what they sent and cancel, right after a job was
-// accepted and at the moment at which its last task ends; nobody then hears less than was told
-// before, in a calm deployment as well as where answers are lost, news come late, the state service
-// is slow or refuses one, and controllers end.
+// Users query all controllers at once, repeat their submissions and cancel, right after a job was accepted
+// and when its last task ends. No later answer may know less than an earlier one, in a calm deployment as
+// well as where answers are lost, news are delayed, the state service is slow or refuses a controller, and
+// controllers crash.
 func TestAnswersNeverContradictEarlierOnes(t *testing.T) {
 	for name, troubles := range map[string]func(w *world, step func(string, ...string)){
-		"calm": func(*world, func(string, ...string)) {},
-		"news": func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
-		"lost": func(_ *world, step func(string, ...string)) { step("state-unheard", "0.4") },
-		"late": func(_ *world, step func(string, ...string)) {
+		"calm":               func(*world, func(string, ...string)) {},
+		"delayed news":       func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
+		"lost state answers": func(_ *world, step func(string, ...string)) { step("state-unheard", "0.4") },
+		"late state answers": func(_ *world, step func(string, ...string)) {
 			for range 5 {
 				time.Sleep(10 * time.Second)
 				step("state-late", "4s")
@@ -151,8 +151,8 @@
 				step("state-late", "0s")
 			}
 		},
-		"slow": func(_ *world, step func(string, ...string)) { step("state-slow", "300ms") },
-		"ends": func(w *world, step func(string, ...string)) {
+		"slow state service": func(_ *world, step func(string, ...string)) { step("state-slow", "300ms") },
+		"crashes": func(w *world, step func(string, ...string)) {
 			step("lags", "c1", "1500ms")
 			for n := range 6 {
 				time.Sleep(9 * time.Second)
@@ -200,7 +200,7 @@
 						time.Sleep(time.Duration(n) * 3 * time.Second)
 						a.run(n % 3)
 						if !a.isOver() {
-							t.Errorf("%s: nothing final is told", s.ID)
+							t.Errorf("%s: no final state was answered", s.ID)
 						}
 						over <- struct{}{}
 					}()
@@ -208,7 +208,7 @@
 				for range users + 1 {
 					<-over
 				}
-				time.Sleep(10 * time.Second) // the last answers
+				time.Sleep(10 * time.Second) // for the last answers
 			})
 		})
 	}
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -12,7 +12,7 @@
 	"daledyke/internal/transport"
 )
 
-// What a holder has its workers do.
+// The commands that a holder sends to its workers.
 
 func (h *Holder) need(e *entry) protocol.Room {
 	if j := h.jobs[e.job]; j != nil {
@@ -21,8 +21,8 @@
 	return protocol.Room{}
 }
 
-// freeRoom is the room left beside all that is or may be on the machine; queued
-// tells whether tasks that wait for room count too.
+// freeRoom is the room left beside all that is or may be on the machine; queued tells whether tasks that wait
+// for room count, too.
 func (h *Holder) freeRoom(w *worker, queued bool) protocol.Room {
 	t, ok := h.machineTypes[w.machineType]
 	if !ok {
@@ -32,7 +32,7 @@
 	for _, e := range w.entries {
 		if e.takesRoom() && (queued || e.state != board.TaskQueued) {
 			if h.jobs[e.job] == nil {
-				return protocol.Room{} // what it takes will be known soon
+				return protocol.Room{} // the job, and so its need, will be known soon
 			}
 			r = r.Sub(h.need(e))
 		}
@@ -40,16 +40,15 @@
 	return r
 }
 
-// stopCommand stops a task, which has so many seconds to save. It shares nothing with what the
-// holder keeps: commands are written by other goroutines.
+// stopCommand stops a task, which gets graceS seconds to save. The command shares no memory with the holder's
+// state, because other goroutines encode it.
 func stopCommand(task string, attempt uint64, graceS float64) protocol.Command {
 	return protocol.Command{Verb: protocol.VerbStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
-// desiredCommands works out which commands lead from what is on a machine to what should be. A holder
-// that may not act as usual stops what nobody is to run any more, and no more: whoever is
-// entitled to a machine may, since such commands are fenced by the slot's term as all are, and
-// undo no others.
+// desiredCommands returns the commands that lead from what is on a machine to what should be. A holder that
+// may not act as usual (mayAct is false) only stops tasks that nobody is to run any more. Whoever is entitled
+// to a machine may do that: such commands are fenced by the slot's term, as all are, and undo no others.
 func (h *Holder) desiredCommands(w *worker, now time.Time, mayAct bool) []protocol.Command {
 	var out []protocol.Command
 	for _, e := range w.entries {
@@ -57,7 +56,7 @@
 		over := h.isJobOver(e.job)
 		switch {
 		case e.exited():
-			// A result is kept on the machine until it is recorded.
+			// A result stays on the machine until it is recorded.
 			if mayAct && (e.forgetRequested || over || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.lastSentAt) > 2*time.Second {
 				e.lastSentAt = now
 				out = append(out, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
@@ -95,8 +94,7 @@
 	return out
 }
 
-// isSettled tells whether no command to the worker is due, or will be before
-// something changes.
+// isSettled reports whether no command to the worker is due, or will be before something changes.
 func (h *Holder) isSettled(w *worker) bool {
 	for _, e := range w.entries {
 		if e.stopRequested || e.unconfirmed() || e.exited() || h.isJobOver(e.job) {
@@ -106,12 +104,11 @@
 	return true
 }
 
-// cancellationStops are the commands that an answer to a report carries along, so that it renews
-// nothing that is known to be cancelled (invariant 9): a worker that takes the answer in
-// carries them out with it, and one that does not lives by what it heard before. known is
-// false if a task runs there of which it is not known whether it is cancelled. The commands
-// may be repeated and come late, as any that stop; starts that are under way of such tasks
-// are fenced by a higher token.
+// cancellationStops returns the stops that the answer to a report contains, so that the answer renews nothing
+// that is known to be cancelled (invariant 9): a worker that receives the answer carries them out with it,
+// and one that does not gets no renewal. known is false if a task runs there of which it is unknown whether
+// it is cancelled. The commands may be repeated and arrive late, as all stops may; starts of such tasks that
+// are in flight are fenced by a higher token.
 func (h *Holder) cancellationStops(w *worker, rep *protocol.Report) (stops []protocol.Command, known bool) {
 	stops = []protocol.Command{}
 	stop := func(task string, attempt uint64) {
@@ -137,7 +134,7 @@
 		if e.unconfirmed() {
 			fence = true
 		}
-		stop(e.task, e.attempt) // it may have started since the report was sent
+		stop(e.task, e.attempt) // it may have started after the report was sent
 	}
 	if fence {
 		w.tokenSeq++
@@ -145,9 +142,8 @@
 	return stops, true
 }
 
-// sendCommands sends a worker the commands it needs. One direct command is under way
-// at a time; each has a token of its own, so that a report with a higher one
-// proves that it was carried out or never will be.
+// sendCommands sends a worker the commands that are due. One direct command is in flight at a time. Each has
+// its own token, so that a report with a higher one proves that the command was carried out or never will be.
 func (h *Holder) sendCommands(w *worker) {
 	now := time.Now()
 	if w.commandInFlight || w.lapsed || w.session == 0 || now.Before(w.backoffUntil) || !h.entitled() || h.slots[w.slot.slot] != w.slot {
@@ -175,13 +171,13 @@
 	}()
 }
 
-// commandLifetime is how long after it was sent a direct command that was not answered is taken to be
-// under way. The protocol gives no bound; this is one for machines that begin anew, without which
-// the machine's token and session are proof enough.
+// commandLifetime is how long after it was sent an unanswered direct command counts as in flight. The
+// protocol gives no bound. This one is for machines that restart; for all others token and session are proof
+// enough.
 func commandLifetime(c *config.Config) time.Duration { return config.Surely(c.WorkerLease()) }
 
-// noteStarts takes in that a direct command is sent, which is taken to be under way until a time unless
-// it is answered.
+// noteStarts records the starts of a direct command that is sent; they count as in flight until the given
+// time unless the command is answered.
 func (w *worker) noteStarts(o protocol.Orders, until time.Time) {
 	w.commandHasStarts = false
 	for _, c := range o.Commands {
@@ -193,7 +189,7 @@
 	}
 }
 
-// closeStarts takes in that the outcome of a direct command is known.
+// closeStarts notes that the outcome of a direct command is known.
 func (w *worker) closeStarts(o protocol.Orders) {
 	for _, c := range o.Commands {
 		if c.Verb == protocol.VerbStart && w.openStarts[c.Task].attempt == c.Attempt {
@@ -202,7 +198,7 @@
 	}
 }
 
-// startingEntries are the tasks that an order starts, as far as nothing else is known of them.
+// startingEntries returns the tasks that a direct command starts and of which nothing newer is known.
 func (w *worker) startingEntries(o protocol.Orders) (starting []*entry) {
 	for _, c := range o.Commands {
 		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.startToken == o.Token {
@@ -212,7 +208,7 @@
 	return starting
 }
 
-// noteUnanswered marks what a direct command was for that got no answer.
+// noteUnanswered marks the tasks of a direct command that got no answer.
 func (w *worker) noteUnanswered(o protocol.Orders) {
 	for _, c := range o.Commands {
 		if e := w.entries[c.Task]; e != nil && e.attempt == c.Attempt {
@@ -221,11 +217,10 @@
 	}
 }
 
-// repeatUnanswered are the commands that an answer to a report carries along since no direct
-// command for them was answered: direct ones may be held up on their way for long, while an answer
-// is taken in at once or never. All of them may be repeated. A start gets the answer's token, which
-// is a new one, so that the former command can't be carried out after it and the next report
-// tells what became of it.
+// repeatUnanswered returns the commands that an answer to a report repeats because no direct command for them
+// was answered: a direct command may be delayed for long, while an answer is received at once or never. All
+// of them may be repeated. A start gets the answer's token, which is new, so that the earlier command can't
+// be carried out after it and the next report shows the outcome.
 func (h *Holder) repeatUnanswered(w *worker, now time.Time) (commands []protocol.Command) {
 	if !w.verified || !h.session.Valid() {
 		return nil
@@ -255,13 +250,13 @@
 	return commands
 }
 
-// mayRepeatStart tells whether a task whose start was not answered is still to be started: by
-// what is known now, and for as long as it might have waited for room.
+// mayRepeatStart reports whether a task whose start was not answered is still to be started: by what is known
+// now, and for as long as it might have waited for room.
 func (h *Holder) mayRepeatStart(w *worker, e *entry, now time.Time) bool {
 	return h.usable(w) && !e.stopRequested && h.jobs[e.job] != nil && !h.isJobOver(e.job) && now.Sub(h.syncedAt) <= maxRecordsAge && now.Before(e.expiresAt)
 }
 
-// unresponsiveBackoff is how long a machine that is silent is left alone after a command in vain.
+// unresponsiveBackoff is how long an unresponsive machine gets no command after an unanswered one.
 const unresponsiveBackoff = 8 * time.Second
 
 func (h *Holder) commandAnswered(w *worker, o protocol.Orders, rep *protocol.Report, executed bool, err error) {
@@ -273,7 +268,7 @@
 		w.closeStarts(o)
 	}
 	if errors.Is(err, transport.ErrRefused) {
-		// Nothing was sent, which says nothing of the machine: what was to be started waits on.
+		// Nothing was sent, so nothing new is known of the machine: the tasks to be started wait on.
 		for _, e := range w.startingEntries(o) {
 			e.state, e.startToken = board.TaskQueued, 0
 		}
@@ -281,9 +276,9 @@
 		return
 	}
 	if err != nil {
-		// Unknown: the next answer's higher token fences what is in flight, and shows
-		// whether the machine hears. It is asked for one, once: that comes sooner than by reports,
-		// and until then nothing more is started there.
+		// The outcome is unknown. The next answer's higher token fences the command, and shows whether the
+		// machine receives answers. The machine is probed once, which is faster than waiting for reports, and
+		// until it answers nothing more is started there.
 		w.noteUnanswered(o)
 		w.tokenSeq++
 		w.probeDue = len(o.Commands) > 0
@@ -298,7 +293,7 @@
 		return
 	}
 	if !executed {
-		// Refused for good: the starts in it will never happen.
+		// Refused for good: its starts will never happen.
 		for _, e := range w.startingEntries(o) {
 			delete(w.entries, e.task)
 		}
--- a/internal/coordination/commands_test.go
+++ b/internal/coordination/commands_test.go
@@ -12,7 +12,7 @@
 	"daledyke/internal/transport"
 )
 
-// carriedTasks are the commands of a kind that an answer to a report carries along.
+// carriedTasks returns the tasks of the commands of a kind in the answer to a report.
 func carriedTasks(body any, verb string) (tasks []string) {
 	answer, _ := body.(protocol.ReportAnswer)
 	for _, c := range answer.Commands {
@@ -23,7 +23,7 @@
 	return tasks
 }
 
-// sendUnanswered has a direct command be under way to the machine of the tests and be given up.
+// sendUnanswered sends a worker a direct command that gets no answer.
 func (h *Holder) sendUnanswered(w *worker, commands ...protocol.Command) protocol.Orders {
 	w.tokenSeq++
 	o := protocol.Orders{Token: protocol.NewToken(w.slot.term, w.tokenSeq), Session: w.session, Commands: commands}
@@ -33,7 +33,7 @@
 	return o
 }
 
-// withUnansweredStart plays on a machine that may be used, to which a start of wk-1/0 went unanswered.
+// withUnansweredStart runs a test with a usable machine that left a start of wk-1/0 unanswered.
 func withUnansweredStart(t *testing.T, play func(t *testing.T, h *Holder, w *worker, sent protocol.Orders)) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
@@ -42,18 +42,17 @@
 		w := h.workersByID["host-000004"]
 		w.ack = ackState{}
 		if !h.startable(w) {
-			t.Fatalf("the machine can't be used: %+v", w)
+			t.Fatalf("the machine is not usable: %+v", w)
 		}
 		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, expiresAt: time.Now().Add(20 * time.Second)}
 		sent := h.sendUnanswered(w, protocol.Command{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3})
-		w.backoffUntil = time.Now().Add(time.Hour) // nothing more goes directly
+		w.backoffUntil = time.Now().Add(time.Hour) // no more direct commands
 		play(t, h, w, sent)
 	})
 }
 
-// A start that no direct command was answered for goes with the next answer, under a token that
-// voids the former command, and again with the one after that until a report shows what became
-// of it.
+// A start whose direct command got no answer is repeated by the next answer to a report, under a token that
+// voids the earlier command, and by each further answer until a report shows the outcome.
 func TestUnansweredStartIsRepeatedInNextAnswer(t *testing.T) {
 	withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
 		last := sent.Token
@@ -65,29 +64,29 @@
 			}
 			last = answer.Token
 			if e := w.entries["wk-1/0"]; e == nil || e.startToken != last {
-				t.Errorf("the start counts as sent under another token: %+v", e)
+				t.Errorf("the start is recorded under another token: %+v", e)
 			}
 			time.Sleep(time.Second)
 		}
 		taken := testReport(1, 9, last)
 		taken.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 3, State: protocol.TaskPulling}}
 		if _, body := h.Report(taken); len(carriedTasks(body, protocol.VerbStart)) != 0 {
-			t.Errorf("what has started is started again: %+v", body)
+			t.Errorf("a task that has started is started again: %+v", body)
 		}
 	})
 }
 
-// A start is not repeated once it is not to be carried out any more: its job is cancelled or not
-// known, its owner withdrew it, records are old, or it waited for too long. The answer voids the
-// former command all the same.
+// A start is not repeated once it is not to be carried out any more: its job is cancelled or not known, its
+// owner withdrew it, the records are old, or it waited for too long. The answer voids the earlier command all
+// the same.
 func TestObsoleteStartIsNotRepeated(t *testing.T) {
 	for name, happens := range map[string]func(h *Holder, w *worker){
-		"its job is cancelled":      func(h *Holder, _ *worker) { h.cancelled.Learn("wk-1", time.Now()) },
-		"its owner withdrew it":     func(_ *Holder, w *worker) { w.entries["wk-1/0"].stopRequested = true },
-		"it waited for too long":    func(_ *Holder, w *worker) { w.entries["wk-1/0"].expiresAt = time.Now() },
-		"records are old":           func(h *Holder, _ *worker) { h.syncedAt = time.Now().Add(-maxRecordsAge - time.Second) },
-		"its job is not known":      func(h *Holder, _ *worker) { delete(h.jobs, "wk-1") },
-		"the machine is left alone": func(_ *Holder, w *worker) { w.drainUntil = time.Now().Add(time.Minute) },
+		"job cancelled":          func(h *Holder, _ *worker) { h.cancelled.Learn("wk-1", time.Now()) },
+		"withdrawn by its owner": func(_ *Holder, w *worker) { w.entries["wk-1/0"].stopRequested = true },
+		"waited too long":        func(_ *Holder, w *worker) { w.entries["wk-1/0"].expiresAt = time.Now() },
+		"records too old":        func(h *Holder, _ *worker) { h.syncedAt = time.Now().Add(-maxRecordsAge - time.Second) },
+		"job unknown":            func(h *Holder, _ *worker) { delete(h.jobs, "wk-1") },
+		"machine drained":        func(_ *Holder, w *worker) { w.drainUntil = time.Now().Add(time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
@@ -102,7 +101,7 @@
 	}
 }
 
-// While another direct command with starts is under way no answer voids it.
+// While another direct command with starts is in flight, no answer voids it.
 func TestAnswerDoesNotFenceStartsInFlight(t *testing.T) {
 	withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
 		w.commandInFlight, w.commandHasStarts = true, true
@@ -113,8 +112,8 @@
 	})
 }
 
-// A task that ended is forgotten, and one that is to stop is stopped, by an answer where no direct
-// command was answered. What saves its progress is left to it.
+// Where a direct command got no answer, the answer to a report forgets a task that ended and stops one that
+// is to stop. A task that is saving its progress is not told again.
 func TestAnswerRepeatsUnansweredForgetAndStop(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
@@ -133,11 +132,11 @@
 		if stops, forgets := carriedTasks(body, protocol.VerbStop), carriedTasks(body, protocol.VerbForget); len(stops) != 1 || stops[0] != "wk-1/0" || len(forgets) != 1 || forgets[0] != "wk-1/1" {
 			t.Errorf("stops %v, forgets %v", stops, forgets)
 		}
-		// An answer is written by another goroutine: it has nothing in common with what the holder keeps.
+		// Another goroutine encodes the answer: it shares no memory with the holder's state.
 		w.entries["wk-1/0"].graceS = 7
 		for _, c := range body.(protocol.ReportAnswer).Commands {
 			if c.Verb == protocol.VerbStop && *c.GraceS != 0 {
-				t.Errorf("the answer changes with the entry: %+v", c)
+				t.Errorf("the answer shares memory with the entry: %+v", c)
 			}
 		}
 	})
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -9,9 +9,9 @@
 	"daledyke/internal/protocol"
 )
 
-// What a holder tells of its machines: the feed that all controllers follow.
+// The feed, by which a holder tells all controllers of its machines.
 
-// feed answers a request for news, after a wait if there are none.
+// feed answers a feed request, after a wait if nothing changed.
 func (h *Holder) feed(a FeedArgs, r *board.News) error {
 	deadline := time.NewTimer(time.Duration(a.WaitMs) * time.Millisecond)
 	defer deadline.Stop()
@@ -31,8 +31,7 @@
 		if !hasNews {
 			select {
 			case <-wait:
-				// Let what belongs together come together, the more the more
-				// controllers ask.
+				// Collect changes that come at about the same time, for longer the more controllers ask.
 				pause(h.ctx, time.Duration(len(h.cfg.Siblings)+1)*feedBatchDelay)
 				continue
 			case <-deadline.C:
@@ -40,7 +39,8 @@
 				return h.ctx.Err()
 			}
 		}
-		// Not into r itself: a controller that ends may do it after r is on its way.
+		// Not into *r itself: if the controller ends, the actor may still write after the reply is on its
+		// way.
 		reply, ok := askFor(h.ctx, &h.actor, func() board.News { return h.newsSince(a) })
 		if !ok {
 			return h.ctx.Err()
@@ -50,8 +50,7 @@
 	}
 }
 
-// feedBatchDelay is how long a controller's news wait for more, for each controller
-// that they go to.
+// feedBatchDelay is how long a feed reply waits for further changes, for each controller that gets them.
 const feedBatchDelay = 40 * time.Millisecond
 
 // newsSince is the reply to a feed request as things stand.
@@ -69,7 +68,7 @@
 		r.Window = h.window.Number
 	}
 	if !r.Entitled {
-		// Others may hold the slots: nothing is said of them, and whoever asks stays where it is.
+		// Others may hold the slots: nothing is said of them, and the caller stays at its version.
 		r.Incarnation, r.Version = a.Incarnation, a.Since
 		return r
 	}
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -14,8 +14,8 @@
 	"daledyke/internal/transport"
 )
 
-// Holder is the sole authority for the machines of the slots it holds: it
-// hears their reports, gives them commands and says what is on them.
+// Holder is the only controller that speaks for the machines of the slots it holds: it receives their
+// reports, sends them commands and tells other controllers what is on them.
 type Holder struct {
 	actor
 	cfg     *config.Config
@@ -30,48 +30,48 @@
 	registry       map[string]*bookkeeping.Machine
 	slots          map[int]*heldSlot
 	workersByID    map[string]*worker
-	changedJobs    map[string]bool  // to be looked at in the next tick
-	finalJobs      []string         // jobs that are over, in the order in which they ended
-	removed        []removedMachine // bounded
+	changedJobs    map[string]bool  // looked at in the next tick
+	finalJobs      []string         // jobs in a final state, oldest first
+	removed        []removedMachine // newest last; bounded
 	retired        recentNames      // machines that were returned
 	version        uint64
-	versionChanged chan struct{} // closed and renewed when version rises
+	versionChanged chan struct{} // closed and replaced when version rises
 
-	window       *bookkeeping.Window // whose owners are obeyed
-	latestWindow *bookkeeping.Window // newest known, may start later
-	// ownersSince is the first window of those in a row with the same owners.
+	window       *bookkeeping.Window // adopted: only its owners' requests are accepted
+	latestWindow *bookkeeping.Window // newest known; may start later
+	// ownersSince is the first of the consecutive windows, up to the adopted one, with the same owners.
 	ownersSince uint64
 	fences      map[string]protocol.Token
 	quotas      *quota.Tree
 
 	syncedAt time.Time
-	// followedSince is since when each change of the records was seen. What was cancelled and put away
-	// before that is not known here.
+	// followedSince is the time since which every change of the records was seen. Jobs that were cancelled
+	// and archived before it are unknown here.
 	followedSince time.Time
 	adopting      bool
 	// sessionsLost counts the sessions that ended.
 	sessionsLost int
-	// releasing are slots given up whose records don't say so yet.
+	// releasing holds the slots given up whose records do not show it yet.
 	releasing        map[int]*heldSlot
 	writingSlots     bool
-	lastDrainWish    uint64                       // the last wish to drain
-	opinions         map[string]placement.Opinion // of jobs that failed somewhere
-	foundBatches     uint64                       // batches of machines that nobody had registered
+	lastDrainWish    uint64                       // the newest drain request (DrainArgs.Wish)
+	opinions         map[string]placement.Opinion // of jobs that failed on some machine
+	foundBatches     uint64                       // batches of unregistered machines that this holder registered
 	registeringFound bool
-	// checkingReachability: most workers went silent together, and it is being found out whether it is
-	// this controller that they can't reach, or it is and waits for them.
+	// checkingReachability: most workers went silent together. The holder is finding out whether they can't
+	// reach this controller, or has found that they can't and waits for them.
 	checkingReachability bool
-	// misrouted are machines that reported here though others hold them, the newest of each
-	// holder; reportedElsewhereAt is when one of this holder's own last did so elsewhere.
+	// misrouted has, for each other holder, the newest report that one of its machines sent here.
+	// reportedElsewhereAt is when a machine of this holder last reported to another controller.
 	misrouted           map[string]misroutedReport
 	reportedElsewhereAt time.Time
-	// stateLastServed is when the state service last did what this controller asked; nil if nobody
-	// knows.
+	// stateLastServed returns when the state service last carried out a request of this controller; nil if
+	// that is not known.
 	stateLastServed func() time.Time
-	// started is when this process was, and boundUntil the end of the moratoria that the process
-	// before it may have granted. moratoriumPeers reach all siblings, in the order of the settings.
-	// granted is what was granted to them, and moratoriumUntil the end of what all of them granted
-	// to this holder; requestingMoratorium and moratoriumRequested tell of the last request.
+	// started is when this process started, and boundUntil the end of the moratoria that its predecessor may
+	// have granted. moratoriumPeers reach all siblings, in the order of the settings. grantedMoratoria are
+	// those granted to siblings, and moratoriumUntil is the end of the moratorium that all siblings granted
+	// to this holder. requestingMoratorium and moratoriumRequested describe the latest request.
 	started              time.Time
 	boundUntil           time.Time
 	moratoriumPeers      []MoratoriumCaller
@@ -79,13 +79,14 @@
 	moratoriumUntil      time.Time
 	requestingMoratorium bool
 	moratoriumRequested  time.Time
-	// cancelled are the jobs that are known to be, by records, users' requests or siblings;
-	// watermark is up to when these are all that anyone confirmed.
+	// cancelled has the jobs known to be cancelled from records, users' requests or siblings. watermark is
+	// the time up to which it includes every cancellation that anyone confirmed.
 	cancelled        membership.Cancellations
 	watermark        membership.Watermark
-	lastNotAnswering time.Time // when reports were last seen not to be answered
-	// announcements are cancellations that siblings are asked to acknowledge, by announcers in the
-	// order of the settings; acknowledged is closed and renewed when one did.
+	lastNotAnswering time.Time // when this controller last did not answer reports
+	// announcements are the cancellations that siblings are asked to acknowledge. announcers call the
+	// siblings, in the order of the settings. acknowledged is closed and replaced when a sibling acknowledged
+	// one.
 	announcements membership.Announcements
 	announcers    []AnnounceCaller
 	announcing    map[string]announcing
@@ -101,22 +102,20 @@
 	slot     int
 	term     uint64
 	adopted  time.Time
-	ready    bool // the registry was read after the adoption
+	ready    bool // the registry was read after the slot was taken
 	complete bool
-	// roster is what the slot's record says at least: tasks are started only
-	// on machines that stand in it, so that a successor awaits them.
+	// roster has machines that the slot's record is known to list. Tasks are started only on these machines,
+	// so that a successor waits for their reports.
 	roster bookkeeping.Roster
-	// rosterIncomplete: former holders kept no roster, so that there may be tasks on
-	// machines that nothing names.
+	// rosterIncomplete: a former holder kept no roster, so tasks may be on machines that no record lists.
 	rosterIncomplete bool
-	// awaited are machines that may have tasks and have not reported under
-	// this term yet.
+	// awaited are machines that may have tasks and have not reported under this term yet.
 	awaited map[string]bool
-	// highestDroppedSeq is the highest number of a token of machines that were dropped.
+	// highestDroppedSeq is the highest token sequence number of the machines dropped so far.
 	highestDroppedSeq uint64
 }
 
-// NewHolder makes the actor.
+// NewHolder returns a holder; Run starts it.
 func NewHolder(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, workers *transport.Workers) *Holder {
 	var siblings []string
 	for _, s := range c.Siblings {
@@ -177,7 +176,7 @@
 	}
 }
 
-// adoptWindow adopts a window: from now on only its owners' requests count.
+// adoptWindow switches to a newer window: from now on only its owners' requests are accepted.
 func (h *Holder) adoptWindow(w *bookkeeping.Window) {
 	if w == nil || h.window != nil && w.Number <= h.window.Number {
 		return
@@ -189,9 +188,8 @@
 	h.bumpVersion()
 }
 
-// adoptWindowUpTo adopts the newest window if a caller has adopted one that is
-// newer than ours: the promise not to serve older owners, not the clock, is
-// what lets the new owner place.
+// adoptWindowUpTo adopts the newest known window if a caller has adopted a newer one than this holder. A new
+// owner may place tasks because holders refuse the older owners, whatever the clock says.
 func (h *Holder) adoptWindowUpTo(number uint64) {
 	if h.latestWindow != nil && (h.window == nil || number > h.window.Number) && h.latestWindow.Number >= number {
 		h.adoptWindow(h.latestWindow)
@@ -212,8 +210,8 @@
 	lease := config.Surely(h.cfg.WorkerLease())
 	for _, s := range h.slots {
 		if s.ready && !s.complete && now.Sub(s.adopted) > lease {
-			// All leases that former holders may have renewed have lapsed; what this one
-			// answered itself may have been heard.
+			// All leases that former holders may have renewed have lapsed. A lease that this holder's answers
+			// may have renewed can still run.
 			h.formerLeasesLapsed(s)
 		}
 	}
@@ -223,10 +221,10 @@
 	clear(h.changedJobs)
 }
 
-// maxRemoved bounds how many removals a feed remembers.
+// maxRemoved bounds the removals that a feed remembers.
 const maxRemoved = 256
 
-// removeMachine takes a machine out: it was returned, and all on it is gone.
+// removeMachine removes a machine that was returned, with all its tasks.
 func (h *Holder) removeMachine(id string) {
 	delete(h.registry, id)
 	h.retired.add(id)
@@ -237,7 +235,7 @@
 	h.dropWorker(id)
 }
 
-// dropWorker takes a machine off what is told of the slots.
+// dropWorker removes a machine from the feed.
 func (h *Holder) dropWorker(id string) {
 	w := h.workersByID[id]
 	if w == nil {
@@ -288,11 +286,11 @@
 	}
 }
 
-// maxRecordsGap is after how long without word of the records they may have been read anew: the
-// state service keeps more changes than it takes in that time.
+// maxRecordsGap is the longest gap in the news of the records within which no change was missed: the state
+// service keeps the changes of a longer time. After a longer gap the records may have been read afresh.
 const maxRecordsGap = 30 * time.Second
 
-// synced takes in that the records at hand are as new as a read that began then.
+// synced notes that the replica of the records is as new as a read that began at the given time.
 func (h *Holder) synced(began time.Time) {
 	if began.Sub(h.syncedAt) > maxRecordsGap {
 		h.followedSince = began
@@ -301,13 +299,13 @@
 	h.watermark.ObserveRecords(began)
 }
 
-// isJobOver tells whether nothing of a job is to run any more, as far as is known.
+// isJobOver reports whether, as far as is known, no task of a job is to run any more.
 func (h *Holder) isJobOver(id string) bool {
 	j := h.jobs[id]
 	return j != nil && j.Final() || h.cancelled.Has(id)
 }
 
-// overview is what the holder adds to a controller's overview.
+// overview returns the holder's part of a controller's overview.
 func (h *Holder) overview() protocol.MachineCount {
 	now := time.Now()
 	c := protocol.MachineCount{Machines: len(h.workersByID), Answers: h.mayAnswer()}
--- a/internal/coordination/standing.go
+++ b/internal/coordination/job_status.go
@@ -7,18 +7,18 @@
 	"daledyke/internal/bookkeeping"
 )
 
-// How jobs stand, as their owner tells users and other parts of the controller.
+// The state of jobs, as their owner tells users and other parts of the controller.
 
 // jobStatus is what a controller knows of a job.
 type jobStatus struct {
 	job     *bookkeeping.Job
 	running int
-	// reason and startsIn tell why no task runs and until when, if known.
+	// reason tells why no task runs, and startsIn the seconds until one is expected to, if known.
 	reason   string
 	startsIn *float64
 }
 
-// Known is the job as this controller knows it, nil if it doesn't.
+// Known returns the job as this controller knows it, nil if it does not.
 func (o *Owner) Known(ctx context.Context, id string) *bookkeeping.Job {
 	j, _ := askFor(ctx, &o.actor, func() *bookkeeping.Job {
 		if js := o.jobs[id]; js != nil {
@@ -29,7 +29,7 @@
 	return j
 }
 
-// Status is what this controller knows of a job, nil if nothing.
+// Status returns what this controller knows of a job, nil if nothing.
 func (o *Owner) Status(ctx context.Context, id string) *jobStatus {
 	st, _ := askFor(ctx, &o.actor, func() *jobStatus {
 		js := o.jobs[id]
@@ -46,7 +46,7 @@
 	return st
 }
 
-// countTasks is how many of a job's tasks are on machines, and run.
+// countTasks returns how many of a job's tasks are on machines, and how many of those run.
 func (o *Owner) countTasks(id string) (placed, running int) {
 	for _, list := range o.board.Tasks[id] {
 		for _, i := range list {
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -15,31 +15,32 @@
 	"daledyke/internal/transport"
 )
 
-// A random test of a holder against a plain model of a machine.
+// A random test of a holder against a simple model of a machine.
 
-// modelWorker is a machine with one task, by the protocol: a plain model of what may run.
+// modelWorker is a machine with one task that follows the protocol, and shows what may run.
 type modelWorker struct {
 	session, ticket uint64
 	token           protocol.Token
 	renewed         time.Time
 	running         bool
-	// receivesNothing: nothing reaches it; sendsNothing: nothing of its leaves it.
+	// receivesNothing: no message reaches the machine; sendsNothing: none of its messages arrives.
 	receivesNothing, sendsNothing bool
-	// restarted: it began anew, and no answer has come to it since.
+	// restarted: it restarted and has received no answer since.
 	restarted   bool
-	nextReport  time.Time // of its reports
+	nextReport  time.Time // when it reports next
 	sentReports []protocol.Report
-	// calls are direct commands, which the test's goroutine has the machine carry out.
+	// calls are direct commands that the test's goroutine has the machine carry out.
 	calls chan func()
-	// delayedStart is a direct command to start that is delayedStart up on its way since heldAt; nil: none is.
+	// delayedStart is a direct command to start that has been delayed since delayedSince; nil if there is
+	// none.
 	delayedStart *protocol.Orders
 	delayedSince time.Time
 }
 
-// maxCommandDelay is how long a command of the model is held up at most, as on the users' bench.
+// maxCommandDelay is the longest delay of a command in the model, as on the users' bench.
 const maxCommandDelay = 16 * time.Second
 
-// deliverDelayedStart has the command that was held up deliverDelayedStart.
+// deliverDelayedStart delivers the delayed command.
 func (m *modelWorker) deliverDelayedStart() {
 	if o := m.delayedStart; o.Token >= m.token && o.Session == m.session {
 		m.token, m.running, m.nextReport = o.Token, true, time.Now()
@@ -57,7 +58,7 @@
 	return r
 }
 
-// tick lets the lease lapse, and reports when it is time, to the holder that holds it now.
+// tick ends the session if its lease has lapsed, and reports to the current holder when a report is due.
 func (m *modelWorker) tick(h *Holder, lease, every time.Duration) {
 	if now := time.Now(); now.Sub(m.renewed) > lease {
 		m.running, m.session, m.renewed, m.nextReport = false, m.session+1, now, now
@@ -72,7 +73,7 @@
 	}
 	status, body := h.Report(&rep)
 	if m.receivesNothing {
-		m.nextReport = at.Add(2 * every) // it tries others meanwhile
+		m.nextReport = at.Add(2 * every) // meanwhile it tries other controllers
 		return
 	}
 	if a, ok := body.(protocol.ReportAnswer); ok && status == http.StatusOK && a.Token >= m.token && rep.Session == m.session {
@@ -111,19 +112,19 @@
 	json.NewEncoder(w).Encode(rep)
 }
 
-// runCalls has the machine carry out what was told it directly.
+// runCalls has the machine carry out the direct commands that have arrived.
 func (m *modelWorker) runCalls() {
 	for synctest.Wait(); len(m.calls) > 0; synctest.Wait() {
 		(<-m.calls)()
 	}
 }
 
-// Whatever comes of reports, copies of them, answers, cuts in either direction, machines that
-// begin anew, commands that are held up and holders that follow each other: no holder ever takes a
-// task for gone that runs, or that a command of its own which is held up may still start, and once
-// all is well it knows again what is there. (What a former holder sent is kept by the boards of
-// owners.) Found by it with the mistake put in: numbers not compared, the newest answer not
-// counted, reports believed under an older term, a start that may still arrive taken for void.
+// Under any sequence of reports, copies of reports, answers, losses in either direction, restarts of the
+// machine, delayed commands and changes of holder, no holder drops a task that runs, or that a delayed
+// command of its own may still start; and once all faults are over the holder knows again what is there.
+// (Owners' boards keep track of what a former holder sent.) The test finds these faults when they are put in:
+// numbers that are not compared, a newest answer that is not counted, reports that are believed under an
+// older term, a start that may still arrive but counts as void.
 func TestRunningTaskIsNeverDropped(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
 	if err != nil {
@@ -144,21 +145,21 @@
 					h.runQueuedAndTick()
 					w := h.workersByID["host-000004"]
 					if s.complete && m.running && (w == nil || w.entries["wk-1/0"] == nil || w.lapsed && len(w.openStarts) == 0) {
-						rt.Fatalf("taken for gone %v after the slot was taken: %+v", time.Since(s.adopted), w)
+						rt.Fatalf("running task dropped %v after the slot was taken: %+v", time.Since(s.adopted), w)
 					}
 					if m.delayedStart != nil && time.Since(m.delayedSince) > maxCommandDelay {
 						m.delayedStart = nil
 					}
 					if m.delayedStart != nil && m.delayedStart.Token.Term() == term && (w == nil || w.entries["wk-1/0"] == nil) {
-						rt.Fatalf("taken for gone %v after a start was sent that may still arrive: %+v", time.Since(m.delayedSince), w)
+						rt.Fatalf("task dropped %v after a start was sent that may still arrive: %+v", time.Since(m.delayedSince), w)
 					}
 				}
 			}
 			rt.Repeat(map[string]func(*rapid.T){
-				"time passes": func(rt *rapid.T) {
+				"some time passes": func(rt *rapid.T) {
 					advance(time.Duration(rapid.IntRange(1, 40).Draw(rt, "quarters")) * 250 * time.Millisecond)
 				},
-				"a copy comes": func(rt *rapid.T) {
+				"a copied report arrives": func(rt *rapid.T) {
 					if len(m.sentReports) > 0 {
 						rep := rapid.SampledFrom(m.sentReports).Draw(rt, "report")
 						h.Report(&rep)
@@ -166,18 +167,18 @@
 						h.runQueuedAndTick()
 					}
 				},
-				"it goes deaf": func(rt *rapid.T) { m.receivesNothing = rapid.Bool().Draw(rt, "deaf") },
-				"it goes mute": func(rt *rapid.T) { m.sendsNothing = rapid.Bool().Draw(rt, "mute") },
-				"another holds": func(rt *rapid.T) {
+				"machine receives nothing": func(rt *rapid.T) { m.receivesNothing = rapid.Bool().Draw(rt, "receives nothing") },
+				"machine sends nothing":    func(rt *rapid.T) { m.sendsNothing = rapid.Bool().Draw(rt, "sends nothing") },
+				"another holder takes over": func(rt *rapid.T) {
 					jobs := h.jobs
 					term++
 					h, s = newTestHolder(ctx, c, dial, term, "host-000004")
 					h.jobs = jobs
 				},
-				"it begins anew": func(rt *rapid.T) {
+				"machine is reset": func(rt *rapid.T) {
 					m.session, m.ticket, m.token, m.renewed, m.running, m.restarted, m.nextReport = 1, 0, 0, time.Now(), false, true, time.Now()
 				},
-				"a start is held up": func(rt *rapid.T) {
+				"a start is delayed": func(rt *rapid.T) {
 					w := h.workersByID["host-000004"]
 					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.running || m.delayedStart != nil || w.entries["wk-1/0"] != nil {
 						return
@@ -190,14 +191,14 @@
 					m.delayedStart, m.delayedSince = &o, time.Now()
 					h.commandAnswered(w, o, nil, false, transport.ErrUnknown)
 				},
-				"what was held up arrives": func(rt *rapid.T) {
+				"the delayed start arrives": func(rt *rapid.T) {
 					if m.delayedStart != nil && m.delayedStart.Token.Term() == term {
 						m.deliverDelayedStart()
 					}
 				},
-				"a task runs there": func(rt *rapid.T) {
-					// Started by whoever holds it, by a direct command, who knows it to be there: only
-					// where it is known. Whether its answer comes or not, unless it began anew unseen.
+				"a task is started": func(rt *rapid.T) {
+					// Started directly by the current holder, which knows the machine's state. The answer may
+					// be lost unless the machine restarted unnoticed.
 					w := h.workersByID["host-000004"]
 					if w == nil || w.lapsed || w.commandInFlight || !s.complete || !h.startable(w) || m.receivesNothing || m.running || w.entries["wk-1/0"] != nil || m.session != w.session {
 						return
@@ -216,15 +217,15 @@
 				},
 			})
 			m.receivesNothing, m.sendsNothing = false, false
-			// One that began anew counts its sessions from the beginning, a lease each. (A leader
-			// would have returned it as silent long before.)
+			// A restarted machine counts its sessions from the beginning, one per lease. (A leader would have
+			// returned it as silent long before.)
 			past := uint64(0)
 			for _, rep := range m.sentReports {
 				past = max(past, rep.Session)
 			}
 			advance(time.Duration(4+past) * c.WorkerLease())
 			if w := h.workersByID["host-000004"]; w == nil || !w.verified || w.lapsed || !s.complete || !h.startable(w) || m.running != (w.entries["wk-1/0"] != nil) {
-				rt.Fatalf("not known again, running %v: %+v of %+v", m.running, h.workersByID["host-000004"], s)
+				rt.Fatalf("state not known again, running %v: %+v of %+v", m.running, h.workersByID["host-000004"], s)
 			}
 		})
 	})
--- a/internal/coordination/recent.go
+++ b/internal/coordination/recent.go
@@ -1,14 +1,14 @@
 package coordination
 
-// recentNames is a set of the names of machines that went last, so many that old messages which name
-// one are known for old. The zero value is empty. (Once all were forgotten together when there
-// were too many, and what was on its way then was taken for new.)
+// recentNames is a set of the machine names added last. It is large enough to recognise old messages that
+// name one of them. The zero value is empty. When it is full the oldest name is dropped: if all were dropped
+// together, messages still on their way would be taken for new.
 type recentNames struct {
 	names map[string]bool
 	order []string
 }
 
-// maxRecentNames bounds what is remembered of machines that were returned.
+// maxRecentNames bounds the names of returned machines that are remembered.
 const maxRecentNames = 5000
 
 func (r *recentNames) add(name string) {
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -11,9 +11,9 @@
 	"daledyke/internal/protocol"
 )
 
-// What workers report, and what a holder makes of it.
+// Workers' reports: how a holder takes them in and answers them.
 
-// Report takes a worker's report and gives the answer to it.
+// Report takes in a worker's report and returns the answer to it.
 func (h *Holder) Report(rep *protocol.Report) (status int, body any) {
 	slot := h.slotOf(rep.Machine)
 	s := h.slots[slot]
@@ -27,7 +27,7 @@
 	if s == nil {
 		return h.redirect(slot, holder)
 	}
-	// A report that names a higher term than ours: the slot was taken.
+	// A report that shows a higher term than this holder's: another controller took the slot.
 	if rep.Token.Term() > s.term {
 		return http.StatusMisdirectedRequest, protocol.Redirect{}
 	}
@@ -40,7 +40,7 @@
 	switch {
 	case w.isNewer(rep):
 	case w.restartToken != 0 && rep.Token == w.restartToken:
-		h.noteRestart(w, rep) // only a worker that began anew was given this token
+		h.noteRestart(w, rep) // only a restarted worker was given this token
 		previousSession = w.session
 	default:
 		return h.answerStaleReport(w, rep)
@@ -53,7 +53,7 @@
 	}
 	w.reported = w.lastHeard
 	if late && previousSession != 0 {
-		w.tokenSeq++ // does it hear? Its next report shows
+		w.tokenSeq++ // its next report shows whether it receives answers
 		w.ack.requireAck(protocol.NewToken(s.term, w.tokenSeq), time.Now())
 		h.markChanged(w)
 	}
@@ -61,7 +61,7 @@
 	return h.answerReport(w, rep)
 }
 
-// otherHolder is the controller that holds a slot by the records, "" if that is this one or nobody.
+// otherHolder is the other controller that holds a slot by the records, "" if there is none.
 func (h *Holder) otherHolder(slot int) string {
 	if rec := h.slotRecords[slot]; h.slots[slot] == nil && rec != nil && rec.Holder != h.cfg.Name {
 		return rec.Holder
@@ -69,8 +69,8 @@
 	return ""
 }
 
-// redirect answers a report of a slot that is not held here: with its holder, or with the
-// controller that is to take it.
+// redirect answers a report of a slot that is not held here: with its holder, or with the controller to which
+// it is assigned.
 func (h *Holder) redirect(slot int, holder string) (status int, body any) {
 	if h.members[holder] != nil {
 		return http.StatusMisdirectedRequest, protocol.Redirect{Node: holder}
@@ -81,7 +81,7 @@
 	return http.StatusServiceUnavailable, nil
 }
 
-// workerOf is what is known of a machine's worker, from now on if nothing was.
+// workerOf returns the worker of a machine, and creates it if it is new.
 func (h *Holder) workerOf(machine string, s *heldSlot) *worker {
 	w := h.workersByID[machine]
 	if w == nil {
@@ -91,11 +91,11 @@
 	return w
 }
 
-// answerReport answers a report that was taken in, and so renews the lease of what runs there,
-// unless that is of no use or may not be.
+// answerReport answers a report that was taken in, which renews the lease of the tasks there, unless the
+// worker receives no answers or a task's job is unknown.
 func (h *Holder) answerReport(w *worker, rep *protocol.Report) (status int, body any) {
 	if w.ack.ignoresAnswers() {
-		// It takes nothing in, so that answers only make it seem to live. It is asked directly.
+		// It receives no answers, and further ones would count as possible renewals. It is probed directly.
 		h.probeWorker(w)
 		return http.StatusServiceUnavailable, nil
 	}
@@ -108,15 +108,15 @@
 	return http.StatusOK, protocol.ReportAnswer{Token: w.unackedAnswerToken, Commands: commands}
 }
 
-// isNewer tells whether a report is newer than all that was heard of its machine: by its numbers,
-// and by the highest token that it has seen, which never falls either. Where the two disagree the
-// machine began anew and counts from the beginning, before or after: a copy from before that,
-// with a later session, once had what ran there taken for gone.
+// isNewer reports whether a report is newer than all that was heard of its machine: by its session and
+// ticket, and by the highest token that it shows, which never falls either. If the two disagree the machine
+// restarted and counts from the beginning, either before the report or after it. Without the token, a copy
+// from before a restart, with a later session, would make running tasks count as gone.
 func (w *worker) isNewer(rep *protocol.Report) bool {
 	return rep.Newer(w.session, w.ticket) && rep.Token >= w.highestToken
 }
 
-// applyReport takes in a report, from whichever way it came; false if it is no news.
+// applyReport takes in a report or a direct answer; false if it is not newer than what is known.
 func (h *Holder) applyReport(w *worker, rep *protocol.Report) bool {
 	if !w.isNewer(rep) || rep.Session <= w.lapsedIn {
 		return false
@@ -124,7 +124,7 @@
 	now := time.Now()
 	w.highestToken = rep.Token
 	if rep.Token >= w.restartToken {
-		w.restartToken = 0 // it was heard of since: what comes with that token now is a copy
+		w.restartToken = 0 // it was heard since: a later report with that token is a copy
 	}
 	changed := rep.Session > w.session || w.lapsed || w.unresponsive || w.reclaimNotice != (rep.NoticeS != nil)
 	wasVerified := w.verified
@@ -132,15 +132,15 @@
 		h.forgetTasks(w) // the former session's tasks were killed
 	}
 	if rep.Session > w.session && w.session != 0 && !w.lapsed && now.Sub(w.lastPossibleRenewal()) < h.cfg.WorkerLease() {
-		// Its lease ended though we answered: it has to show that it hears before it is used.
+		// Its lease ended although it was answered: it must acknowledge an answer before it is used.
 		w.tokenSeq++
 		w.ack.requireAck(protocol.NewToken(w.slot.term, w.tokenSeq), now)
 		slog.Info("machine didn't hear", "machine", w.id)
 	}
 	if rep.Session > w.session {
-		// What was answered was in a former session. The lease of this one counts from when it
-		// began, which was before now. (Counted from the slot's adoption, one of which a direct
-		// command told first had lapsed at once, and was turned away until its next.)
+		// Earlier answers belong to a former session. The lease of the new one counts from its beginning,
+		// which was before now. (If it counted from the slot's adoption, a session first seen in a direct
+		// answer would lapse at once, and its reports would be refused until the next session.)
 		w.lastAnswer, w.unackedAnswer = now, time.Time{}
 	}
 	w.session, w.ticket = rep.Session, rep.Ticket
@@ -158,7 +158,7 @@
 	return true
 }
 
-// forgetTasks drops all that was on a machine: it is surely gone.
+// forgetTasks drops the tasks that were on a machine and have surely ended.
 func (h *Holder) forgetTasks(w *worker) {
 	now := time.Now()
 	for _, e := range w.entries {
@@ -168,9 +168,9 @@
 	}
 }
 
-// countedAttempts are a report's tasks without the attempts that another of the same task hides. A worker
-// that refuses a start since another attempt is there lists both: the one that is there counts,
-// and of those that ended the one that completed.
+// countedAttempts returns a report's tasks with one attempt of each. A worker that refuses a start because
+// another attempt is there lists both: the attempt that is there counts, and among exited ones the one that
+// completed.
 func countedAttempts(reported []protocol.TaskReport) []protocol.TaskReport {
 	rank := func(t *protocol.TaskReport) int {
 		switch {
@@ -196,8 +196,8 @@
 	return counted
 }
 
-// applyTasks makes a report the truth about its machine; it tells whether that
-// changed anything.
+// applyTasks replaces what is known of a machine's tasks by a report; it reports whether that changed
+// anything.
 func (h *Holder) applyTasks(w *worker, rep *protocol.Report) (news bool) {
 	if !w.verified {
 		w.verified = true
@@ -211,7 +211,7 @@
 		listed[t.Task] = true
 		e := w.entries[t.Task]
 		if e != nil && e.attempt != t.Attempt {
-			e = nil // what is there counts, not what we believed or wished
+			e = nil // the reported attempt counts, not the one believed or wanted
 		}
 		if e == nil {
 			job, index, _ := protocol.SplitTask(t.Task)
@@ -224,8 +224,8 @@
 			h.noteState(w, e, t)
 		}
 		if t.Cause == protocol.CauseIncomplete && e.state != "" && !e.exited() {
-			// Its owner says what becomes of its place. (Once others had it at once; it started
-			// elsewhere, fetched its image there, and the rest of the gang waited in vain in turn.)
+			// Its owner decides whether its room is kept. If others got the room at once, the task would
+			// start elsewhere and fetch its image there, and the rest of the gang would wait in vain in turn.
 			e.expiresAt = now.Add(incompletePlaceLifetime)
 		}
 		e.state, e.cause, e.saved, e.startToken = t.State, t.Cause, t.Saved, 0
@@ -238,7 +238,7 @@
 		switch {
 		case listed[name] || e.state == board.TaskQueued || e.state == board.TaskReserved:
 		case e.state == board.TaskStarting && rep.Token <= e.startToken:
-			// The start may still be on its way (invariant 3).
+			// The start may still be in flight (invariant 3).
 		case !w.dropEntry(e, now, !h.isJobOver(e.job)):
 		default:
 			news = true
@@ -251,14 +251,13 @@
 }
 
 const (
-	// incompletePlaceLifetime is for how long the place of a task that waited for its gang in vain is kept
-	// until its owner asks for it; reservedFor how long a reservation lasts.
+	// incompletePlaceLifetime is how long the room of a task that waited for its gang in vain is kept until
+	// its owner asks for it. reservationLifetime is how long a reservation lasts.
 	incompletePlaceLifetime = 3 * time.Second
 	reservationLifetime     = 6 * time.Second
 )
 
-// noteState learns from a task's new state: which images the machine has,
-// and whether it fails what it is given.
+// noteState learns from a task's new state which images the machine has and whether tasks fail there.
 func (h *Holder) noteState(w *worker, e *entry, t protocol.TaskReport) {
 	slog.Debug("task", "task", e.task, "machine", w.id, "was", e.state, "is", t.State, "cause", t.Cause)
 	if j := h.jobs[e.job]; j != nil && t.State != protocol.TaskExited {
@@ -271,7 +270,7 @@
 		e.runningSince = time.Now()
 	}
 	if t.State != protocol.TaskExited || e.state == "" {
-		return // what was there before is no news of the machine
+		return // a task first seen after its exit says nothing about the machine
 	}
 	switch t.Cause {
 	case protocol.CauseDone:
@@ -281,7 +280,7 @@
 	}
 }
 
-// useImage puts an image at the recent end of what the machine caches.
+// useImage makes an image the most recently used of the machine's cache.
 func (w *worker) useImage(img image, cache float64) {
 	w.cachedImages = slices.DeleteFunc(w.cachedImages, func(i image) bool { return i.name == img.name })
 	w.cachedImages = append(w.cachedImages, img)
--- a/internal/coordination/serve.go
+++ b/internal/coordination/serve.go
@@ -7,9 +7,9 @@
 	"daledyke/internal/board"
 )
 
-// What a holder serves to its siblings and to its own controller.
+// The calls that a holder serves to its siblings and to its own controller.
 
-// HolderRPC is what siblings may call, and the controller itself alike.
+// HolderRPC is the service that siblings, and the controller itself, may call.
 type HolderRPC struct{ h *Holder }
 
 var errRequestVoid = errors.New("request is void or the holder may not act")
@@ -25,14 +25,13 @@
 	return nil
 }
 
-// Feed answers a controller's question for news, after a wait if there is
-// none. It runs on the caller's goroutine.
+// Feed returns a controller's news, after a wait if there are none. It runs on the caller's goroutine.
 func (r HolderRPC) Feed(a FeedArgs, reply *board.News) error { return r.h.feed(a, reply) }
 
-// drainLifetime is how long a wish to drain stands without being repeated.
+// drainLifetime is how long a drain request stands without being repeated.
 const drainLifetime = 12 * time.Second
 
-// Drain keeps machines free of new tasks, and no others that were before.
+// Drain keeps the given machines free of new tasks, and ends this for all others.
 func (r HolderRPC) Drain(a DrainArgs, _ *Nothing) error {
 	r.h.tell(func() { r.h.drain(&a) })
 	return nil
@@ -40,7 +39,7 @@
 
 func (h *Holder) drain(a *DrainArgs) {
 	if a.Wish < h.lastDrainWish {
-		return // of a former leader
+		return // from a former leader
 	}
 	h.lastDrainWish = a.Wish
 	wanted, vacate := make(map[string]bool, len(a.Machines)), make(map[string]bool, len(a.Vacate))
@@ -55,7 +54,7 @@
 		draining := now.Before(w.drainUntil)
 		switch {
 		case wanted[id] && !vacate[id] && !draining && !w.suspect && len(w.entries) > 0:
-			// It got work that the leader has not seen yet: it is not idle any more.
+			// It got work that the leader has not seen yet, so it is not idle any more.
 		case wanted[id]:
 			if !draining {
 				w.drainWish = a.Wish
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -12,15 +12,15 @@
 	"daledyke/internal/transport"
 )
 
-// Session keeps a controller's lease in the state service. The controller
-// may act while the lease surely lives: counted on its own steady clock from
-// when the last good renewal was sent, less drift and a margin (invariant 2).
+// Session keeps a controller's lease in the state service. The controller may act while the lease surely
+// lives: counted on its own monotonic clock from when the last successful renewal was sent, less drift and a
+// margin (invariant 2).
 type Session struct {
 	name  string
 	ttl   time.Duration
 	store *bookkeeping.Store
 	base  time.Time
-	// validUntil is the end of validity as nanoseconds after base.
+	// validUntil is the end of validity in nanoseconds after base.
 	validUntil         atomic.Int64
 	term               atomic.Uint64
 	lease              atomic.Uint64
@@ -29,15 +29,15 @@
 	onLost func()
 }
 
-// NewSession makes a session; Run opens it.
+// NewSession returns a session; Run opens it.
 func NewSession(c *config.Config, store *bookkeeping.Store, lost func()) *Session {
 	return &Session{name: c.Name, ttl: c.SessionTTL(), store: store, base: time.Now(), onLost: lost}
 }
 
-// Valid tells whether the controller may act now.
+// Valid reports whether the controller may act now.
 func (s *Session) Valid() bool { return int64(time.Since(s.base)) < s.validUntil.Load() }
 
-// Left is for how long the controller may act without another renewal.
+// Left is how long the controller may act without another renewal.
 func (s *Session) Left() time.Duration {
 	return max(0, time.Duration(s.validUntil.Load())-time.Since(s.base))
 }
@@ -45,7 +45,7 @@
 // Term is the incarnation of this controller, 0 before its first session.
 func (s *Session) Term() uint64 { return s.term.Load() }
 
-// Lease is the lease that the session lives by.
+// Lease is the id of the lease on which the session depends.
 func (s *Session) Lease() uint64 { return s.lease.Load() }
 
 func (s *Session) extend(sent time.Time) {
@@ -62,7 +62,7 @@
 			continue
 		}
 		s.lease.Store(lease)
-		s.workersUnreachable.Store(false) // a new record says nothing of it
+		s.workersUnreachable.Store(false) // the new member record does not say so
 		s.term.Store(term)
 		s.extend(sent)
 		slog.Info("session opened", "term", term)
@@ -94,11 +94,12 @@
 	}
 }
 
-// WorkersUnreachable tells whether the others were last to be told that workers can't reach this controller.
+// WorkersUnreachable reports whether the other controllers were last to be told that workers can't reach this
+// one.
 func (s *Session) WorkersUnreachable() bool { return s.workersUnreachable.Load() }
 
-// SetWorkersUnreachable tells the others whether workers can reach this controller. An error means that they may not
-// have been told, or may have been all the same: it is to be tried again.
+// SetWorkersUnreachable tells the other controllers whether workers can reach this one. After an error they
+// may or may not have been told, and the caller tries again.
 func (s *Session) SetWorkersUnreachable(ctx context.Context, unreachable bool) error {
 	if !s.Valid() {
 		return errNoSession
@@ -107,5 +108,5 @@
 	return s.store.UpdateMember(ctx, s.name, bookkeeping.Member{Term: s.Term(), WorkersUnreachable: unreachable}, s.Lease())
 }
 
-// errNoSession says that the controller has no session in which it could act.
+// errNoSession says that the controller has no session under which it may act.
 var errNoSession = errors.New("no session")
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -12,10 +12,10 @@
 	"daledyke/internal/transport"
 )
 
-// Which slots a holder has, and what their records say.
+// The slots of a holder and their records.
 
-// dropAllSlots forgets all slots, as after a restart: the session was lost, and
-// others may have taken them.
+// dropAllSlots forgets all slots, as after a restart: the session was lost, and others may have taken the
+// slots.
 func (h *Holder) dropAllSlots() {
 	h.moratoriumUntil = time.Time{}
 	h.sessionsLost++
@@ -25,8 +25,8 @@
 	h.bumpVersion()
 }
 
-// slotChanged takes in a slot's record. One of a higher term than this holder's says that somebody took
-// the slot since: this holder stops acting for it at once.
+// slotChanged takes in a slot's record. A term higher than this holder's shows that the slot was taken since:
+// this holder stops acting for it at once.
 func (h *Holder) slotChanged(slot int, record *bookkeeping.Slot) {
 	h.slotRecords[slot] = record
 	if s := h.slots[slot]; s != nil && record.Term > s.term {
@@ -53,8 +53,7 @@
 // takeSlotsTimeout bounds an adoption.
 const takeSlotsTimeout = 8 * time.Second
 
-// adoptSlots takes the slots that are assigned to this controller and that
-// nobody can be acting for.
+// adoptSlots takes the slots that are assigned to this controller and for which nobody can be acting.
 func (h *Holder) adoptSlots() {
 	if h.adopting || !h.session.Valid() || h.latestWindow == nil {
 		return
@@ -78,9 +77,9 @@
 	}()
 }
 
-// claimsTaken takes in that slots were taken, after so many sessions had been lost. The session that they
-// were taken for may have ended since, also where the next one has not begun: others may take them
-// then, and this holder would act for them beside those.
+// claimsTaken takes in that slots were taken; sessionsLost is the count of lost sessions when they were
+// claimed. If the session for which they were taken has ended since, even if the next one has not begun,
+// others may take the slots, and this holder must not act for them.
 func (h *Holder) claimsTaken(claims []bookkeeping.Claim, term uint64, sessionsLost int) {
 	h.adopting = false
 	if h.sessionsLost == sessionsLost {
@@ -88,7 +87,7 @@
 	}
 }
 
-// claimableSlots are the slots to take now, as many as one transaction takes.
+// claimableSlots returns the claims of the slots to take now, as many as one transaction takes.
 func (h *Holder) claimableSlots(incarnation uint64) (claims []bookkeeping.Claim) {
 	for slot := range h.latestWindow.Assignment {
 		if !h.isAssignedHere(slot) || h.slots[slot] != nil {
@@ -99,14 +98,14 @@
 			continue
 		}
 		if claims = append(claims, c); len(claims) == h.store.MostClaims() {
-			break // the rest in the next round
+			break // the rest in the next tick
 		}
 	}
 	return claims
 }
 
-// claimFor is what it takes to take a slot, if nobody can be acting for it: another process may be as
-// long as its session lives; the member record tells.
+// claimFor returns the claim that takes a slot, if nobody can be acting for it. Another process may be acting
+// for it as long as its session lives, which its member record shows.
 func (h *Holder) claimFor(slot int, incarnation uint64) (c bookkeeping.Claim, may bool) {
 	c = bookkeeping.Claim{Slot: slot, Seen: h.slotRecords[slot]}
 	if c.Seen == nil || c.Seen.Holder == "" {
@@ -114,7 +113,7 @@
 	}
 	m := h.members[c.Seen.Holder]
 	if c.Seen.Holder == h.cfg.Name && (m == nil || m.Term != incarnation) {
-		return c, false // our own record has not come back to us yet
+		return c, false // the replica does not show our own record yet
 	}
 	if m != nil && m.Term == c.Seen.Incarnation && c.Seen.Holder != h.cfg.Name || !h.mayTakeOver(c.Seen.Holder) {
 		return c, false
@@ -140,8 +139,8 @@
 	h.loadAdoptedSlots(term)
 }
 
-// loadAdoptedSlots reads, after an adoption, what the former holders registered and
-// which windows they may have obeyed. Only then are the slots ready.
+// loadAdoptedSlots reads, after an adoption, the machines that former holders registered and the newest
+// window that they may have adopted. Only then are the slots ready.
 func (h *Holder) loadAdoptedSlots(term uint64) {
 	go func() {
 		for h.ctx.Err() == nil {
@@ -157,8 +156,8 @@
 				continue
 			}
 			h.tell(func() {
-				// The former holder may have obeyed any published window,
-				// also one that has not begun by this clock.
+				// The former holder may have adopted any published window, also one that has not begun by
+				// this clock.
 				h.learnWindow(win)
 				h.adoptWindow(win)
 				for _, m := range machines {
@@ -185,10 +184,10 @@
 	}()
 }
 
-// formerLeasesLapsed takes in that all leases which former holders of a slot may have renewed have
-// lapsed: nothing is on its machines but where an answer of ours may have been heard and
-// nothing came since. Once those were taken for empty, too, though one of them, cut off right
-// after its first report, ran on for as long as that report was later than the adoption.
+// formerLeasesLapsed takes in that all leases which former holders of a slot may have renewed have lapsed:
+// its machines are empty, except those that may have received an answer of this holder and have not been
+// heard since. A machine that is cut off right after its first report here keeps its tasks longer than the
+// former leases, by the time between the adoption and that report.
 func (h *Holder) formerLeasesLapsed(s *heldSlot) {
 	unknown := map[string]bool{}
 	for _, w := range h.workersByID {
@@ -207,7 +206,7 @@
 	h.updateCompleteness()
 }
 
-// updateCompleteness finds out which slots are fully known by now.
+// updateCompleteness marks the slots whose machines are all known by now.
 func (h *Holder) updateCompleteness() {
 	for _, s := range h.slots {
 		if s.ready && !s.complete && len(s.awaited) == 0 && !s.rosterIncomplete {
@@ -218,7 +217,7 @@
 	}
 }
 
-// releaseSlots gives up slots that the assignment gives to another living controller.
+// releaseSlots gives up slots that are assigned to another living controller.
 func (h *Holder) releaseSlots() {
 	if h.latestWindow == nil {
 		return
@@ -231,7 +230,7 @@
 		if slot < len(h.latestWindow.Assignment) && h.members[h.latestWindow.Assignment[slot]] == nil || rec == nil || rec.Term != s.term {
 			continue
 		}
-		// Stop acting first, then say so.
+		// Stop acting for the slot before its record says so.
 		h.forgetSlot(s)
 		h.releasing[slot] = s
 	}
@@ -243,7 +242,7 @@
 	for slot, s := range h.releasing {
 		rec := h.slotRecords[slot]
 		if rec.Term != s.term || rec.Holder == "" {
-			delete(h.releasing, slot) // said, or taken already
+			delete(h.releasing, slot) // recorded, or taken already
 		} else if len(changes) < h.store.MostClaims() {
 			changes = append(changes, bookkeeping.SlotChange{Slot: slot, Seen: rec.Version, To: bookkeeping.Slot{Term: rec.Term, Roster: rec.Roster, Listed: rec.Listed}})
 		}
@@ -251,9 +250,9 @@
 	h.writeSlotRecords(transport.Vital, changes, nil)
 }
 
-// releaseUnconfirmed gives up slots that this process holds by their records and does not act for, when
-// they are assigned to another living controller: the answer to the transaction that took them was lost.
-// One that is assigned to this controller is taken anew (adopt).
+// releaseUnconfirmed gives up slots that this process holds by their records without acting for them, when
+// they are assigned to another living controller: the answer to the transaction that took them was lost. A
+// slot that is assigned to this controller is taken again instead (adoptSlots).
 func (h *Holder) releaseUnconfirmed() {
 	if h.adopting || !h.session.Valid() {
 		return
@@ -270,9 +269,8 @@
 	}
 }
 
-// writeSlotRecords writes slots' records, one transaction at a time. What was
-// written for certain is passed on; anything else is tried again by the loop,
-// once the replica shows the records as they are.
+// writeSlotRecords writes slots' records, one transaction at a time. written is run if the write surely
+// succeeded; after any other outcome the loop tries again, once the replica shows the records as they are.
 func (h *Holder) writeSlotRecords(u transport.Urgency, changes []bookkeeping.SlotChange, written func()) {
 	if len(changes) == 0 {
 		return
@@ -288,12 +286,12 @@
 	}()
 }
 
-// rosterWriteInterval is how often rosters are written at most; machines that come up
-// at about the same time share a write.
+// rosterWriteInterval is the shortest time between two writes of rosters; machines that come up at about the
+// same time share a write.
 const rosterWriteInterval = 250 * time.Millisecond
 
-// updateRosters puts machines into their slots' rosters before tasks are started on
-// them, and takes those out that are gone.
+// updateRosters adds machines to their slots' rosters before tasks are started on them, and removes those
+// that are no longer registered.
 func (h *Holder) updateRosters() {
 	if h.writingSlots || !h.session.Valid() {
 		return
@@ -323,7 +321,7 @@
 	for s, r := range rosters {
 		rec := h.slotRecords[s.slot]
 		if rec == nil || rec.Term != s.term || rec.Holder != h.cfg.Name {
-			delete(rosters, s) // our own record has not come back to us yet
+			delete(rosters, s) // the replica does not show our own record yet
 			continue
 		}
 		maps.DeleteFunc(r, func(n uint64, _ bool) bool { return !registered[n] })
@@ -344,12 +342,12 @@
 	})
 }
 
-// registerFoundAfter is how long a machine may report before it is registered by its
-// holder: the leader that rented it is about to do so itself.
+// registerFoundAfter is how long an unregistered machine reports before its holder registers it: the leader
+// that rented it is about to do so itself.
 const registerFoundAfter = 5 * time.Second
 
-// registerFound registers machines that report and that no record names: a
-// rental may be carried out late, or its leader may have ended.
+// registerFound registers machines that report and that no record names: a rental may be carried out late, or
+// its leader may have ended.
 func (h *Holder) registerFound() {
 	if h.registeringFound {
 		return
@@ -377,7 +375,7 @@
 				slog.Debug("found machines not registered", "err", err)
 			}
 		}
-		pause(h.ctx, time.Second) // they come back through the replica
+		pause(h.ctx, time.Second) // until the replica shows them
 		h.tell(func() { h.registeringFound = false })
 	}()
 }
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -12,26 +12,26 @@
 	"daledyke/internal/protocol"
 )
 
-// The ways in which a task could run in two places at once (docs/incidents/ran-twice.md), each
-// on a state written down by hand.
+// The ways in which a task could run in two places at once (docs/incidents/ran-twice.md), each with a state
+// written by hand.
 
-// firstReportAfterRestart is the first report of the tests' machine after it began anew.
+// firstReportAfterRestart is the first report of the tests' machine after a restart.
 func firstReportAfterRestart() *protocol.Report { return testReport(1, 1, 0) }
 
-// A direct command to start is held up on its way. Its machine shows a higher token meanwhile, so
-// that it would refuse the command; then it reboots, and would not. The task stays where the command
-// may start it for as long as the command may be under way, whatever shows that it is not there.
+// A direct command to start is delayed. Meanwhile its machine shows a higher token, so that it would refuse
+// the command; then it reboots, and would accept it. The task's entry is kept for as long as the command may
+// be in flight, whatever shows that the task is not there.
 func TestOpenStartKeepsItsTask(t *testing.T) {
 	for name, happens := range map[string]func(h *Holder, w *worker, lease time.Duration){
-		"a higher token is shown": func(h *Holder, w *worker, _ time.Duration) {
-			w.entries["wk-1/0"].expiresAt = time.Now() // no answer starts it
+		"higher token shown": func(h *Holder, w *worker, _ time.Duration) {
+			w.entries["wk-1/0"].expiresAt = time.Now() // no answer repeats the start
 			_, body := h.Report(testReport(1, 6, protocol.NewToken(7, 1)))
 			h.Report(testReport(1, 7, body.(protocol.ReportAnswer).Token))
 		},
-		"a later session begins": func(h *Holder, w *worker, _ time.Duration) {
+		"later session": func(h *Holder, w *worker, _ time.Duration) {
 			h.Report(testReport(2, 7, protocol.NewToken(7, w.tokenSeq)))
 		},
-		"the lease lapses": func(h *Holder, w *worker, lease time.Duration) {
+		"lease lapsed": func(h *Holder, w *worker, lease time.Duration) {
 			w.lastAnswer, w.unackedAnswer = time.Now().Add(-lease-time.Second), time.Time{}
 			w.slot.adopted = w.lastAnswer
 			h.runQueuedAndTick()
@@ -39,12 +39,12 @@
 				t.Error("the lease has not lapsed")
 			}
 		},
-		"it ran and is gone": func(h *Holder, w *worker, _ time.Duration) {
+		"ran and is gone": func(h *Holder, w *worker, _ time.Duration) {
 			w.entries["wk-1/0"].state = protocol.TaskRunning
 			w.tokenSeq++
 			h.Report(testReport(1, 7, protocol.NewToken(7, w.tokenSeq)))
 			if h.machineView(w).Tasks[0].Cause != board.CauseLost {
-				t.Errorf("it counts as one that is about to run: %+v", h.machineView(w))
+				t.Errorf("it counts as a task about to run: %+v", h.machineView(w))
 			}
 		},
 	} {
@@ -54,12 +54,12 @@
 				time.Sleep(time.Second)
 				happens(h, w, lease)
 				if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskStarting && e.cause != board.CauseLost {
-					t.Fatalf("it counts as not being there: %+v", e)
+					t.Fatalf("its entry was dropped: %+v", e)
 				}
 				time.Sleep(lease)
 				shown := protocol.NewToken(7, w.tokenSeq)
 				for ticket := range uint64(4) {
-					if !w.lapsed { // it is heard again, and shows what it was answered with
+					if !w.lapsed { // it reports again, with the token of the last answer
 						_, body := h.Report(testReport(w.session, 20+ticket, shown))
 						answer, _ := body.(protocol.ReportAnswer)
 						shown = max(shown, answer.Token)
@@ -67,14 +67,14 @@
 					h.runQueuedAndTick()
 				}
 				if e := w.entries["wk-1/0"]; e != nil {
-					t.Errorf("it is there for ever: %+v", e)
+					t.Errorf("its entry is kept for ever: %+v", e)
 				}
 			})
 		})
 	}
 }
 
-// What was answered is not under way any more, and keeps nothing.
+// A start that was answered is no longer in flight and keeps no entry.
 func TestAnsweredStartKeepsNoEntry(t *testing.T) {
 	withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
 		h.commandAnswered(w, sent, testReport(1, 6, sent.Token), false, nil)
@@ -84,8 +84,8 @@
 	})
 }
 
-// A machine that looks as if it began anew is told a token at once: until then it would carry out
-// whatever was sent to it before.
+// A machine that appears to have restarted is given a token at once: until then it would carry out any
+// command sent to it before.
 func TestRestartedMachineGetsTokenAtOnce(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
@@ -96,7 +96,7 @@
 		w := h.workersByID["host-000004"]
 		shown := protocol.NewToken(7, w.tokenSeq)
 		time.Sleep(2 * time.Second)
-		late := firstReportAfterRestart() // a command from before has started a task there already
+		late := firstReportAfterRestart() // an earlier command has already started a task there
 		late.Tasks = []protocol.TaskReport{{Task: "wk-1/1", Attempt: 2, State: protocol.TaskPulling}}
 		status, body := h.Report(late)
 		answer, _ := body.(protocol.ReportAnswer)
@@ -104,23 +104,24 @@
 			t.Fatalf("answered %d %+v", status, body)
 		}
 		if w.ticket != 50 || w.entries["wk-1/0"] == nil {
-			t.Errorf("it is taken at its word: %+v", w)
+			t.Errorf("its report was taken in: %+v", w)
 		}
 		if !h.startable(w) || time.Since(w.lastPossibleRenewal()) > 0 {
-			t.Errorf("what may be a copy keeps the machine from being used, or is taken not to be heard: %+v", w)
+			t.Errorf("a possible copy makes the machine unusable, or does not count as a renewal: %+v", w)
 		}
-		// That it shows the token proves that it began anew: what ran there is gone.
+		// If it shows the token, it did restart, and its former tasks are gone.
 		heard := testReport(1, 2, answer.Token)
 		if status, _ := h.Report(heard); status != http.StatusOK || w.ticket != 2 || w.entries["wk-1/0"] != nil {
 			t.Errorf("answered %d, %+v", status, w)
 		}
 		if w.tokenSeq <= uint64(answer.Token)&(1<<32-1) {
-			t.Error("the token is told to others, too")
+			t.Error("other messages may use the same token")
 		}
 	})
 }
 
-// newTestOwner is an owner of all jobs, with one slot, that waits for what others have started of wk-1.
+// newTestOwner returns an owner of all jobs, with one slot, that does not know yet what others have started
+// of wk-1.
 func newTestOwner(t *testing.T) (*Owner, *jobState) {
 	o := &Owner{actor: newActor(context.Background()), cfg: &config.Config{}, board: board.New(), slots: 1, session: &Session{base: time.Now()},
 		peers: map[string]*peerState{"c1": {}, "c2": {}}, unclear: map[string]*jobState{}, active: map[string]*jobState{}, jobs: map[string]*jobState{}, unmetNeeds: map[kind]unmetNeed{}}
@@ -131,43 +132,43 @@
 	return o, js
 }
 
-// holderNews are news of a holder that has the slot under a term, and of a machine with these tasks.
+// holderNews returns the news of a holder that has the slot under a term, with one machine and its tasks.
 func holderNews(term uint64, complete bool, tasks ...board.TaskView) *board.News {
 	return &board.News{Incarnation: term, Version: term, Window: 4, Valid: true,
 		Slots:    []board.SlotView{{Slot: 0, Term: term, Complete: complete}},
 		Machines: []board.MachineView{{ID: "host-000004", Slot: 0, Term: term, Tasks: tasks}}}
 }
 
-// Tasks as their machine's holder shows them.
+// Tasks as the machine's holder shows them.
 var (
 	runningTask0 = board.TaskView{Task: "wk-1/0", Attempt: 3, State: protocol.TaskRunning}
 	runningTask1 = board.TaskView{Task: "wk-1/1", Attempt: 4, State: protocol.TaskRunning}
 )
 
-// A holder that was stopped, or cut off from the state service, has lost its slot to another and goes
-// on telling that it knows all of it. Who has just become a job's owner does not take that for
-// knowing what runs there: only the slot's newest holder can say so.
+// A holder that was stopped, or cut off from the state service, has lost its slot to another and still
+// reports that it knows all of it. A controller that has just become a job's owner must not rely on that:
+// only the slot's newest holder knows what runs there.
 func TestOnlyNewestHolderSettlesSlot(t *testing.T) {
 	o, js := newTestOwner(t)
 	asked := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
 	o.feed("c2", asked, holderNews(9, false), time.Now())
 	o.feed("c1", asked, holderNews(5, true), time.Now())
 	if js.shares[0].settled {
-		t.Fatal("settled by a former holder's news")
+		t.Fatal("settled by news of a former holder")
 	}
 	o.feed("c2", asked, holderNews(9, true, runningTask0), time.Now())
 	if !js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
-		t.Errorf("not settled by the newest holder's, or its task is unknown: %+v", o.board.Tasks)
+		t.Errorf("not settled by news of the newest holder, or its task is unknown: %+v", o.board.Tasks)
 	}
 }
 
-// What a holder says that is not entitled to its slots is not believed: it took the lease of a machine
-// for lapsed which the slot's next holder, of whom nothing was heard yet, has answered since.
+// News of a holder that is not entitled to its slots are not believed: it took a machine's lease for lapsed
+// that the slot's next holder, not heard yet, has renewed since.
 func TestNewsOfUnentitledHolderAreIgnored(t *testing.T) {
 	o, js := newTestOwner(t)
 	asked := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
 	if !o.feed("c1", asked, holderNews(5, false, runningTask0), time.Now()) {
-		t.Fatal("news of an entitled holder are not taken")
+		t.Fatal("news of an entitled holder are not believed")
 	}
 	stale := holderNews(5, true)
 	stale.Valid, stale.Full = false, true
@@ -180,20 +181,20 @@
 	}
 }
 
-// A machine that nobody had registered went silent and was dropped; it came back, and has tasks. Who
-// hears of both at once keeps it.
+// An unregistered machine went silent and was dropped; then it came back, with tasks. A controller that
+// learns both at once keeps it.
 func TestReturningMachineIsNotRemoved(t *testing.T) {
 	b := board.New()
 	r := holderNews(5, true, runningTask0)
 	r.Gone = []string{"host-000004"}
 	b.Apply("c1", r, time.Now(), time.Now())
 	if b.Machines["host-000004"] == nil || b.Tasks["wk-1"][0] == nil {
-		t.Error("it is gone, with what runs there")
+		t.Error("the machine is gone, with its tasks")
 	}
 }
 
-// A request that was made under one term of a slot is void under the next: its owner may have found
-// out from the news of that what became of it, and have started the task elsewhere.
+// A request under one term of a slot is void under the next: its owner may have learned the request's outcome
+// from the news of the next term, and have started the task elsewhere.
 func TestStartIsValidForOneSlotTerm(t *testing.T) {
 	withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, _ protocol.Orders) {
 		h.jobs["wk-2"] = pendingJob("wk-2")
@@ -204,39 +205,39 @@
 			return h.admitStart(&AskArgs{Caller: "c0", Window: 4}, Start{Task: "wk-2/0", Attempt: 9, Machine: w.id, Term: term}, time.Now())
 		}
 		if why := ask(6); why == "" || w.entries["wk-2/0"] != nil {
-			t.Error("taken on under a later term")
+			t.Error("accepted under a later term")
 		}
 		if why := ask(7); why != "" {
 			t.Errorf("refused under its own term: %s", why)
 		}
 		delete(w.entries, "wk-2/0")
 		if why := ask(0); why != "" {
-			t.Errorf("a version that does not say is refused: %s", why)
+			t.Errorf("a request without a term is refused: %s", why)
 		}
 	})
 }
 
-// A slot's record shows that another has taken it, while this holder has not heard yet that its
+// A slot's record shows that another controller has taken it, while this holder has not noticed yet that its
 // session ended: it stops acting for the slot at once.
 func TestTakenSlotIsGivenUpAtOnce(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
 		h.slotChanged(s.slot, &bookkeeping.Slot{Holder: "c0", Term: 7})
 		if h.slots[s.slot] != s {
-			t.Fatal("its own record has it give the slot up")
+			t.Fatal("it gave the slot up for its own record")
 		}
 		h.slotChanged(s.slot, &bookkeeping.Slot{Holder: "c1", Term: 8})
 		if h.slots[s.slot] != nil || h.workersByID["host-000004"] != nil {
-			t.Error("it goes on acting for the slot")
+			t.Error("it still acts for the slot")
 		}
 		if status, _ := h.Report(testReport(1, 6, protocol.NewToken(7, 1))); status == http.StatusOK {
-			t.Error("it answers the slot's machines")
+			t.Error("it still answers the slot's machines")
 		}
 	})
 }
 
-// Slots were taken for a session that ended before the answer came, while the next one has not begun:
-// they are not acted for, since others may take them.
+// Slots were taken for a session that ended before the answer came, while the next one has not begun: this
+// holder does not act for them, since others may take them.
 func TestSlotsTakenForLostSessionAreNotHeld(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		before := h.sessionsLost
@@ -248,9 +249,9 @@
 	})
 }
 
-// A start was under way when its machine changed hands, and the next holder does not see it there. It
-// may be carried out should the machine begin anew: the task is not started elsewhere for as long as
-// the command may be under way.
+// A start was in flight when its machine changed hands, and the next holder does not see the task there. The
+// machine may still carry the start out if it restarts: the task is not started elsewhere for as long as the
+// command may be in flight.
 func TestOpenStartOutlivesItsHolder(t *testing.T) {
 	b, now := board.New(), time.Now()
 	b.StartsLastFor = 20 * time.Second
@@ -262,12 +263,12 @@
 	}
 	b.Apply("c2", holderNews(9, true), now, now.Add(10*time.Second))
 	if b.DropLost(now.Add(19 * time.Second)); b.Tasks["wk-1"][0] == nil {
-		t.Error("dropped while the command may be under way")
+		t.Error("dropped while the command may be in flight")
 	}
 	if b.DropLost(now.Add(21 * time.Second)); b.Tasks["wk-1"] != nil || b.Machines["host-000004"].EmptySince.IsZero() {
 		t.Errorf("kept for ever: %+v", b.Tasks)
 	}
-	// One that shows after all is what its holder says.
+	// If the task shows up after all, what its holder reports counts.
 	b.Apply("c1", holderNews(10, true, starting), now, now)
 	b.Apply("c2", holderNews(11, true, runningTask0), now, now)
 	if there := b.Tasks["wk-1"][0]; len(there) != 1 || there[0].State != protocol.TaskRunning {
@@ -275,9 +276,9 @@
 	}
 }
 
-// A machine that began anew was heard again by its answer to a direct command. A copy of its report from
-// before that shows the token which only it was told, and is a copy all the same: what was started
-// since is not gone.
+// A machine that restarted was heard again by its answer to a direct command. A copy of an earlier report
+// shows the token that only this machine was given, but is a copy all the same: what was started since is not
+// gone.
 func TestCopyOfFirstReportIsNoRestart(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
@@ -291,16 +292,16 @@
 		direct.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 3, State: protocol.TaskRunning}}
 		h.commandAnswered(w, protocol.Orders{Session: 1}, direct, true, nil)
 		if w.entries["wk-1/0"] == nil {
-			t.Fatalf("not heard: %+v", w)
+			t.Fatalf("direct answer not taken in: %+v", w)
 		}
 		if h.Report(testReport(1, 2, told)); w.entries["wk-1/0"] == nil || w.ticket != 3 {
-			t.Errorf("taken for gone by a copy: %+v", w)
+			t.Errorf("task dropped because of a copy: %+v", w)
 		}
 	})
 }
 
-// A worker refuses a start since another attempt of the task is there, and lists both: the one that is
-// there counts, in whichever order they stand, until it has ended; then its result does.
+// A worker refuses a start because another attempt of the task is there, and lists both. The attempt that is
+// there counts, in either order, until it has ended; then its result does.
 func TestRefusedAttemptHidesNoOther(t *testing.T) {
 	there := protocol.TaskReport{Task: "wk-1/0", Attempt: 3, State: protocol.TaskRunning}
 	refused := protocol.TaskReport{Task: "wk-1/0", Attempt: 9, State: protocol.TaskExited, Cause: "in_use"}
@@ -318,8 +319,8 @@
 	}
 }
 
-// A holder that is not entitled to its slots says nothing of them, and keeps whoever asks where it is: a
-// version that believes all news is not misled, and misses none once they are told again.
+// A holder that is not entitled to its slots reports nothing of them, and leaves the caller at its version: a
+// caller of a version that believes all news is not misled, and misses none once they are reported again.
 func TestUnentitledHolderReportsNoMachines(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -8,7 +8,7 @@
 	"daledyke/internal/protocol"
 )
 
-// What a holder knows of a machine, its worker and the tasks on it, and what time changes about them.
+// What a holder knows of a machine, its worker and its tasks, and how that changes with time.
 
 type worker struct {
 	id, addr, machineType, zone string
@@ -16,48 +16,47 @@
 	slot                        *heldSlot
 	session, ticket             uint64
 	tokenSeq                    uint64
-	// highestToken is the highest token that it reported since its lease last surely ended; askedAfter
-	// the ticket last heard when the direct command under way was sent.
+	// highestToken is the highest token that the worker showed since its lease last surely lapsed.
+	// ticketAtSend is the newest ticket received when the direct command in flight was sent.
 	highestToken protocol.Token
 	ticketAtSend uint64
-	// restartToken was told to a worker that may have begun anew, and to nobody else; 0: none was.
+	// restartToken was given only to this worker, which may have restarted; 0: none was.
 	restartToken protocol.Token
-	// verified: a report under this slot's term has come (invariant 3).
+	// verified: a report under this slot's term has arrived (invariant 3).
 	verified   bool
 	firstHeard time.Time
 	lastHeard  time.Time
-	reported   time.Time // when its last report came: direct answers count as heard, too
-	// lastAnswer is when the last 200 was given that it may have heard: all later ones are
-	// known not to have reached it. unackedAnswer is that of the newest, with its token, of which
-	// nothing is known yet; see noteAck.
+	reported   time.Time // arrival of its last report; lastHeard counts direct answers, too
+	// lastAnswer is when the newest answer with status 200 that the worker may have received was given: the
+	// later ones are known to be lost. unackedAnswer and unackedAnswerToken are time and token of the newest
+	// answer, while it is unknown whether it arrived; see noteAck.
 	lastAnswer, unackedAnswer time.Time
 	unackedAnswerToken        protocol.Token
 	ack                       ackState
-	// probeDue: it is to be asked, whatever is wanted of it; probed is when it last was.
+	// probeDue: the worker is to be asked directly, even without a command. probedAt is when it last was.
 	probeDue bool
 	probedAt time.Time
-	// lapsed: the lease of session lapsedIn and all before surely ended.
+	// lapsed: the leases of session lapsedIn and of all earlier ones have surely ended.
 	lapsedIn        uint64
 	lapsed          bool
 	reclaimNotice   bool
 	entries         map[string]*entry
 	cachedImages    []image // most recently used last
 	readyImages     map[string]bool
-	commandInFlight bool // a direct command is under way
-	// openStarts are direct commands to start that were not answered, by task: they may still be
-	// carried out.
+	commandInFlight bool // a direct command is in flight
+	// openStarts are the unanswered direct commands to start, by task, that may still be carried out.
 	openStarts       map[string]openStart
-	commandHasStarts bool // the direct command under way, or the last one, carries starts
-	settled          bool // nothing is wanted of it until something changes
+	commandHasStarts bool // the newest direct command contains starts
+	settled          bool // no command is due until something changes
 	backoffUntil     time.Time
 	drainUntil       time.Time
-	drainWish        uint64 // since which it is kept free without a break
-	vacating         bool   // what is on it is to be moved elsewhere
+	drainWish        uint64 // the drain request since which it has been kept free without a break
+	vacating         bool   // its tasks are to be moved elsewhere
 	unresponsive     bool
-	reportsLost      bool            // it answers directly, but its reports don't come
+	reportsLost      bool            // it answers directly, but its reports do not arrive
 	failedJobs       map[string]bool // jobs that failed here since the last success
-	lastSuccess      time.Time       // when something last succeeded
-	quarantinedSince time.Time       // since when it is left alone, not to be told yet why
+	lastSuccess      time.Time       // when a task last succeeded here
+	quarantinedSince time.Time       // out of use until it is clear whether the machine or the jobs cause the failures
 	suspect          bool
 	version          uint64
 }
@@ -76,27 +75,27 @@
 	state   string
 	cause   string
 	saved   bool
-	// startToken is that of the start command, as long as its outcome is open.
+	// startToken is the token of the start command while its outcome is unknown.
 	startToken    protocol.Token
-	expiresAt     time.Time // end of a reservation, of waiting for room, or of a place that is kept
-	reservedAhead bool      // reserved before there is room for it
+	expiresAt     time.Time // end of a reservation, of the wait for room, or of the time that an exited task's room is kept
+	reservedAhead bool      // reserved while its room is still in use
 	stopRequested bool
 	graceS        float64
 	lastSentAt    time.Time // when the last stop or forget was sent
-	// unanswered: the last direct command for it was, so that answers to reports repeat it.
+	// unanswered: its last direct command got no answer, so answers to reports repeat the command.
 	unanswered      bool
 	forgetRequested bool
-	keepRoom        bool // once it is forgotten its place is reserved for the same attempt
-	// runningSince is since when it runs, if it was seen to begin; proven that it runs
-	// for long enough to show that it can.
+	keepRoom        bool // once it is forgotten its room is reserved for the same attempt
+	// runningSince is set if the task was seen to begin to run. proven: it ran long enough to show that it
+	// can.
 	runningSince time.Time
 	proven       bool
 }
 
-// openStart is a direct command to start an attempt of a task whose outcome is not known.
+// openStart is a direct command to start an attempt of a task whose outcome is unknown.
 type openStart struct {
 	attempt uint64
-	// expiresAt is when it is taken not to be under way any more.
+	// expiresAt is when the command no longer counts as in flight.
 	expiresAt time.Time
 }
 
@@ -104,24 +103,24 @@
 
 func (e *entry) exited() bool { return e.state == protocol.TaskExited }
 
-// takesRoom tells whether nothing else may have its room: it is or may be there, or its place is
+// takesRoom reports whether its room is unavailable to others: it is or may be on the machine, or its room is
 // kept.
 func (e *entry) takesRoom() bool { return !e.exited() || !e.expiresAt.IsZero() }
 
-// unresponsiveAfter is when a worker's silence tells of trouble: two regular reports
-// and the time to find another controller have passed.
+// unresponsiveAfter is the silence after which a worker counts as unresponsive: two regular reports and the
+// time to find another controller.
 func (h *Holder) unresponsiveAfter() time.Duration {
 	return min(h.cfg.ReportEvery()*8/3, h.cfg.WorkerLease()/2)
 }
 
-// reconcileWorker finds out what time has changed about a worker, and has it do what is wanted.
+// reconcileWorker updates what time has changed about a worker and sends it the commands that are due.
 func (h *Holder) reconcileWorker(w *worker, now time.Time, lease time.Duration) {
 	if !w.lapsed && now.Sub(w.lastPossibleRenewal()) > lease {
 		h.markLapsed(w)
 	}
 	if w.lapsed && !w.verified && w.slot.ready && h.registry[w.id] == nil {
-		// Nobody registered it, and it never took a word of ours: mostly an old message
-		// of a machine that was returned. It was shown as silent for ever.
+		// It is not registered and has never shown a token of this holder: mostly an old report of a machine
+		// that was returned. If kept, it would be shown as silent for ever.
 		h.dropWorker(w.id)
 		return
 	}
@@ -139,10 +138,10 @@
 	}
 }
 
-// markLapsed takes in that a worker's lease surely ended, and with it all that was on its machine.
+// markLapsed notes that a worker's lease, and with it all tasks on its machine, have surely ended.
 func (h *Holder) markLapsed(w *worker) {
 	w.lapsed, w.lapsedIn = true, w.session
-	// Should it have begun anew: whatever it shows from now on is newer than all before.
+	// In case the machine restarts: whatever it shows from now on is newer than all before.
 	w.highestToken, w.tokenSeq = 0, w.tokenSeq+1
 	for _, e := range w.entries {
 		w.dropEntry(e, time.Now(), !h.isJobOver(e.job))
@@ -151,14 +150,14 @@
 	slog.Info("lease lapsed", "machine", w.id)
 }
 
-// dropEntry drops a task that is not on its machine any more, unless a direct command to start it may
-// still arrive: a higher token and a later session keep such a command from being carried out only
-// until the machine begins anew and remembers neither. wanted tells whether it is still to run. It
-// reports whether the entry was dropped or changed.
+// dropEntry drops a task that is no longer on its machine, unless a direct command to start it may still
+// arrive: a higher token and a later session fence such a command only until the machine restarts and forgets
+// both. wanted tells whether the task is still to run. dropEntry reports whether the entry was dropped or
+// changed.
 //
-// Once a start that was held up on its way was taken for void as soon as its machine had shown a higher
-// token. The task was started elsewhere, the machine rebooted, and then the command arrived: the
-// machine accepted it, and the task ran in two places (trace rebooted-while-commands-are-held).
+// If a delayed start counted as void once its machine had shown a higher token, the task could be started
+// elsewhere, the machine could reboot, and the command arrive only then: the machine would accept it, and the
+// task run in two places (trace rebooted-while-commands-are-held).
 func (w *worker) dropEntry(e *entry, now time.Time, wanted bool) (changed bool) {
 	open, isOpen := w.openStarts[e.task]
 	if !isOpen || open.attempt != e.attempt || !now.Before(open.expiresAt) || !wanted || e.cause == protocol.CauseDone {
@@ -174,8 +173,8 @@
 	return changed
 }
 
-// expireOpenStarts forgets direct commands to start that are not under way any more. Where the lease has
-// lapsed, nothing else kept the tasks that they start; otherwise the next report tells.
+// expireOpenStarts forgets direct commands to start that are no longer in flight. If the lease has lapsed,
+// their tasks were kept only because of them and are dropped; otherwise the next report tells.
 func (h *Holder) expireOpenStarts(w *worker, now time.Time) {
 	for task, open := range w.openStarts {
 		if now.Before(open.expiresAt) {
@@ -189,10 +188,11 @@
 	}
 }
 
-// noteResponsiveness finds out whether a worker is silent, or answers directly while its reports don't come.
+// noteResponsiveness updates whether a worker is unresponsive, or answers directly while its reports do not
+// arrive.
 func (h *Holder) noteResponsiveness(w *worker, now time.Time) {
-	// While this controller answeringFor nobody, nobody is silent: after an outage of the
-	// state service, a small fleet's machines were given back as lost, with their results.
+	// While this controller answers no reports, no worker counts as silent. Otherwise, after an outage of the
+	// state service, a small fleet's machines were returned as lost, with their results.
 	answeringFor := min(now.Sub(w.slot.adopted), now.Sub(h.lastNotAnswering))
 	sinceHeard := min(now.Sub(w.lastHeard), answeringFor)
 	unresponsive := sinceHeard > h.unresponsiveAfter() || w.ack.isOverdue(now, h.unresponsiveAfter())
@@ -202,16 +202,15 @@
 		h.markChanged(w)
 	}
 	if !unresponsive && !w.lapsed && sinceHeard > 2*h.cfg.ReportEvery() {
-		h.probeWorker(w) // it may be that its reports alone don't come
+		h.probeWorker(w) // perhaps only its reports do not arrive
 	}
 }
 
-// reconcileEntries drops reservations and kept places whose time is over, and has commands repeated
-// for jobs that changed.
+// reconcileEntries drops expired reservations and kept room, and has commands repeated for jobs that changed.
 func (h *Holder) reconcileEntries(w *worker, now time.Time) {
 	for name, e := range w.entries {
 		if h.changedJobs[e.job] {
-			e.lastSentAt, w.settled = time.Time{}, false // what was sent may no longer be what is wanted
+			e.lastSentAt, w.settled = time.Time{}, false // the command sent may no longer be the desired one
 		}
 		if (e.state == board.TaskReserved || e.state == board.TaskQueued) && now.After(e.expiresAt) {
 			delete(w.entries, name)
