--- a/internal/coordination/acks.go
+++ b/internal/coordination/acks.go
@@ -37,7 +37,7 @@
 	return first
 }
 
-// observe takes in the token of a report. It reports whether this was the required acknowledgement.
+// observe records the token of a report. It reports whether this was the required acknowledgement.
 func (a *ackState) observe(token protocol.Token) (acked bool) {
 	if a.requiredSince.IsZero() || token < a.requiredToken {
 		return false
@@ -58,7 +58,7 @@
 // ignoresAnswers reports whether so many answers in a row were lost that the worker gets no more.
 func (a *ackState) ignoresAnswers() bool { return a.unacked >= maxUnackedAnswers }
 
-// noteAck takes in what a report shows about the answer to the previous report of the same session.
+// noteAck records what a report shows about the answer to the previous report of the same session.
 func (h *Holder) noteAck(w *worker, shown protocol.Token) {
 	if w.unackedAnswer.IsZero() {
 		return
@@ -102,7 +102,7 @@
 // delayed so that nobody receives its answer, or its worker restarted and counts from the beginning. A
 // restarted worker accepts any earlier command until it gets a token of this holder, so the answer gives it
 // one at once. No other message uses this token: if the next report shows it, the worker restarted; until
-// then the report is not taken in. Tasks in the report that are not expected there were started by an earlier
+// then the report is ignored. Tasks in the report that are not expected there were started by an earlier
 // command and are stopped. While a direct command with starts is in flight no new token is given, because the
 // next answer's token would void that command.
 func (h *Holder) answerStaleReport(w *worker, rep *protocol.Report) (status int, body any) {
@@ -123,11 +123,11 @@
 	return http.StatusOK, protocol.ReportAnswer{Token: w.restartToken, Commands: commands}
 }
 
-// noteRestart takes in that a machine restarted and counts from the beginning: its direct answer has lower
+// noteRestart records that a machine restarted and counts from the beginning: its direct answer has lower
 // numbers than what was heard of it although nothing arrived since the command was sent, or it shows a token
-// that only a restarted worker was given. Its lease may count from any time before now. (Counted from the
-// last answer, it ended for this holder while tasks started since still ran.) Before the machine is used
-// again it must show a token newer than all before.
+// that only a restarted worker was given. Its lease may count from any time before now. (If it counted from
+// the last answer, it could end for this holder while tasks started since still run.) Before the machine is
+// used again it must show a token newer than all before.
 func (h *Holder) noteRestart(w *worker, rep *protocol.Report) {
 	slog.Info("machine began anew", "machine", w.id, "was", w.session, "is", rep.Session)
 	now := time.Now()
--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -63,7 +63,7 @@
 }
 
 // withHolder runs a test in virtual time with such a holder, which reaches no machine.
-func withHolder(t *testing.T, play func(t *testing.T, c *config.Config, h *Holder, s *heldSlot)) {
+func withHolder(t *testing.T, run func(t *testing.T, c *config.Config, h *Holder, s *heldSlot)) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		h, s := newTestHolder(ctx, c, refuseDial, 7, "host-000004")
-		play(t, c, h, s)
+		run(t, c, h, s)
 	})
 }
 
@@ -211,7 +211,7 @@
 		running := testReport(1, 4, protocol.NewToken(7, w.tokenSeq))
 		running.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 1, State: protocol.TaskRunning}}
 		if status, _ := h.Report(running); status != http.StatusOK || w.entries["wk-1/0"] == nil {
-			t.Fatal("report not taken in:", status)
+			t.Fatal("report not accepted:", status)
 		}
 		answered := w.lastPossibleRenewal()
 		time.Sleep(time.Second)
@@ -281,9 +281,9 @@
 		w, begin := h.workersByID["host-000004"], time.Now()
 		for ticket := uint64(1); w.session == 3 && time.Since(begin) < c.WorkerLease(); ticket++ {
 			// The answer contains a token, in case the machine receives it, and starts nothing; the report is
-			// not taken in.
+			// ignored.
 			if _, body := h.Report(testReport(1, ticket, 0)); len(carriedTasks(body, protocol.VerbStart)) != 0 || w.session != 3 || w.ticket != 50 {
-				t.Fatalf("its report was taken in: %+v", w)
+				t.Fatalf("its report was accepted: %+v", w)
 			}
 			time.Sleep(time.Second)
 			h.runQueuedAndTick()
@@ -308,10 +308,10 @@
 		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
 		time.Sleep(5 * time.Second)
 		for _, c := range []struct {
-			say   string
-			stray board.Stray
-			told  bool
-			news  bool
+			name        string
+			stray       board.Stray
+			tellsStrays bool
+			counts      bool
 		}{
 			{"nothing", board.Stray{}, true, false},
 			{"a copy", board.Stray{Machine: "host-000004", Session: 2, Ticket: 5}, true, false},
@@ -321,8 +321,8 @@
 			{"an older version", board.Stray{}, false, true},
 		} {
 			h.reportedElsewhereAt = time.Time{}
-			if h.noteMisrouted(c.stray, c.told, time.Now()); !h.reportedElsewhereAt.IsZero() != c.news {
-				t.Errorf("%s: %v", c.say, h.reportedElsewhereAt)
+			if h.noteMisrouted(c.stray, c.tellsStrays, time.Now()); !h.reportedElsewhereAt.IsZero() != c.counts {
+				t.Errorf("%s: %v", c.name, h.reportedElsewhereAt)
 			}
 		}
 		h.reportedElsewhereAt = time.Time{}
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -139,7 +139,7 @@
 // well as where answers are lost, news are delayed, the state service is slow or refuses a controller, and
 // controllers crash.
 func TestAnswersNeverContradictEarlierOnes(t *testing.T) {
-	for name, troubles := range map[string]func(w *world, step func(string, ...string)){
+	for name, faults := range map[string]func(w *world, step func(string, ...string)){
 		"calm":               func(*world, func(string, ...string)) {},
 		"delayed news":       func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
 		"lost state answers": func(_ *world, step func(string, ...string)) { step("state-unheard", "0.4") },
@@ -180,14 +180,14 @@
 				}
 				time.Sleep(3 * time.Second)
 				const users = 15
-				over := make(chan struct{})
+				done := make(chan struct{})
 				go func() {
-					troubles(w, func(verb string, args ...string) {
+					faults(w, func(verb string, args ...string) {
 						if err := w.step(verb, args); err != nil {
 							t.Error(err)
 						}
 					})
-					over <- struct{}{}
+					done <- struct{}{}
 				}()
 				for n := range users {
 					run := 5 + float64(n%7)
@@ -202,11 +202,11 @@
 						if !a.isOver() {
 							t.Errorf("%s: no final state was answered", s.ID)
 						}
-						over <- struct{}{}
+						done <- struct{}{}
 					}()
 				}
 				for range users + 1 {
-					<-over
+					<-done
 				}
 				time.Sleep(10 * time.Second) // for the last answers
 			})
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -53,21 +53,21 @@
 	var out []protocol.Command
 	for _, e := range w.entries {
 		j := h.jobs[e.job]
-		over := h.isJobOver(e.job)
+		jobOver := h.isJobOver(e.job)
 		switch {
 		case e.exited():
 			// A result stays on the machine until it is recorded.
-			if mayAct && (e.forgetRequested || over || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.lastSentAt) > 2*time.Second {
+			if mayAct && (e.forgetRequested || jobOver || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.lastSentAt) > 2*time.Second {
 				e.lastSentAt = now
 				out = append(out, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
 			}
 		case e.unconfirmed():
-		case over || mayAct && e.stopRequested:
+		case jobOver || mayAct && e.stopRequested:
 			grace := e.graceS
-			if over {
+			if jobOver {
 				grace = 0
 			}
-			if now.Sub(e.lastSentAt) > 3*time.Second && (e.state != protocol.TaskFlushing || grace == 0 || over) {
+			if now.Sub(e.lastSentAt) > 3*time.Second && (e.state != protocol.TaskFlushing || grace == 0 || jobOver) {
 				e.lastSentAt = now
 				out = append(out, stopCommand(e.task, e.attempt, grace))
 			}
@@ -126,17 +126,17 @@
 			return nil, false
 		}
 	}
-	fence := false
+	needsFence := false
 	for _, e := range w.entries {
 		if !h.isJobOver(e.job) || e.exited() || e.state == board.TaskReserved || e.state == board.TaskQueued {
 			continue
 		}
 		if e.unconfirmed() {
-			fence = true
+			needsFence = true
 		}
 		stop(e.task, e.attempt) // it may have started after the report was sent
 	}
-	if fence {
+	if needsFence {
 		w.tokenSeq++
 	}
 	return stops, true
@@ -178,11 +178,11 @@
 
 // noteStarts records the starts of a direct command that is sent; they count as in flight until the given
 // time unless the command is answered.
-func (w *worker) noteStarts(o protocol.Orders, until time.Time) {
+func (w *worker) noteStarts(orders protocol.Orders, until time.Time) {
 	w.commandHasStarts = false
-	for _, c := range o.Commands {
+	for _, c := range orders.Commands {
 		if c.Verb == protocol.VerbStart {
-			w.entries[c.Task].startToken = o.Token
+			w.entries[c.Task].startToken = orders.Token
 			w.openStarts[c.Task] = openStart{c.Attempt, until}
 			w.commandHasStarts = true
 		}
@@ -190,8 +190,8 @@
 }
 
 // closeStarts notes that the outcome of a direct command is known.
-func (w *worker) closeStarts(o protocol.Orders) {
-	for _, c := range o.Commands {
+func (w *worker) closeStarts(orders protocol.Orders) {
+	for _, c := range orders.Commands {
 		if c.Verb == protocol.VerbStart && w.openStarts[c.Task].attempt == c.Attempt {
 			delete(w.openStarts, c.Task)
 		}
@@ -199,9 +199,9 @@
 }
 
 // startingEntries returns the tasks that a direct command starts and of which nothing newer is known.
-func (w *worker) startingEntries(o protocol.Orders) (starting []*entry) {
-	for _, c := range o.Commands {
-		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.startToken == o.Token {
+func (w *worker) startingEntries(orders protocol.Orders) (starting []*entry) {
+	for _, c := range orders.Commands {
+		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.startToken == orders.Token {
 			starting = append(starting, e)
 		}
 	}
@@ -209,8 +209,8 @@
 }
 
 // noteUnanswered marks the tasks of a direct command that got no answer.
-func (w *worker) noteUnanswered(o protocol.Orders) {
-	for _, c := range o.Commands {
+func (w *worker) noteUnanswered(orders protocol.Orders) {
+	for _, c := range orders.Commands {
 		if e := w.entries[c.Task]; e != nil && e.attempt == c.Attempt {
 			e.unanswered = true
 		}
@@ -259,17 +259,17 @@
 // unresponsiveBackoff is how long an unresponsive machine gets no command after an unanswered one.
 const unresponsiveBackoff = 8 * time.Second
 
-func (h *Holder) commandAnswered(w *worker, o protocol.Orders, rep *protocol.Report, executed bool, err error) {
+func (h *Holder) commandAnswered(w *worker, orders protocol.Orders, rep *protocol.Report, executed bool, err error) {
 	w.commandInFlight = false
 	if h.workersByID[w.id] != w || h.slots[w.slot.slot] != w.slot {
 		return
 	}
 	if err == nil || errors.Is(err, transport.ErrRefused) {
-		w.closeStarts(o)
+		w.closeStarts(orders)
 	}
 	if errors.Is(err, transport.ErrRefused) {
 		// Nothing was sent, so nothing new is known of the machine: the tasks to be started wait on.
-		for _, e := range w.startingEntries(o) {
+		for _, e := range w.startingEntries(orders) {
 			e.state, e.startToken = board.TaskQueued, 0
 		}
 		w.backoffUntil = time.Now().Add(time.Second)
@@ -279,9 +279,9 @@
 		// The outcome is unknown. The next answer's higher token fences the command, and shows whether the
 		// machine receives answers. The machine is probed once, which is faster than waiting for reports, and
 		// until it answers nothing more is started there.
-		w.noteUnanswered(o)
+		w.noteUnanswered(orders)
 		w.tokenSeq++
-		w.probeDue = len(o.Commands) > 0
+		w.probeDue = len(orders.Commands) > 0
 		w.backoffUntil = time.Now().Add(time.Second)
 		if w.unresponsive { // many may be, and each attempt holds a connection until it is given up
 			w.backoffUntil = time.Now().Add(unresponsiveBackoff)
@@ -294,14 +294,14 @@
 	}
 	if !executed {
 		// Refused for good: its starts will never happen.
-		for _, e := range w.startingEntries(o) {
+		for _, e := range w.startingEntries(orders) {
 			delete(w.entries, e.task)
 		}
 		w.backoffUntil = time.Now().Add(500 * time.Millisecond)
 	}
 	if rep.Machine == w.id && rep.Token.Term() <= w.slot.term {
 		w.ack = ackState{} // it answered
-		if !w.isNewer(rep) && w.session == o.Session && w.ticket == w.ticketAtSend {
+		if !w.isNewer(rep) && w.session == orders.Session && w.ticket == w.ticketAtSend {
 			h.noteRestart(w, rep)
 		}
 		h.applyReport(w, rep)
--- a/internal/coordination/commands_test.go
+++ b/internal/coordination/commands_test.go
@@ -34,7 +34,7 @@
 }
 
 // withUnansweredStart runs a test with a usable machine that left a start of wk-1/0 unanswered.
-func withUnansweredStart(t *testing.T, play func(t *testing.T, h *Holder, w *worker, sent protocol.Orders)) {
+func withUnansweredStart(t *testing.T, run func(t *testing.T, h *Holder, w *worker, sent protocol.Orders)) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
@@ -47,7 +47,7 @@
 		w.entries["wk-1/0"] = &entry{task: "wk-1/0", job: "wk-1", attempt: 3, state: board.TaskStarting, expiresAt: time.Now().Add(20 * time.Second)}
 		sent := h.sendUnanswered(w, protocol.Command{Verb: protocol.VerbStart, Task: "wk-1/0", Attempt: 3})
 		w.backoffUntil = time.Now().Add(time.Hour) // no more direct commands
-		play(t, h, w, sent)
+		run(t, h, w, sent)
 	})
 }
 
@@ -80,7 +80,7 @@
 // owner withdrew it, the records are old, or it waited for too long. The answer voids the earlier command all
 // the same.
 func TestObsoleteStartIsNotRepeated(t *testing.T) {
-	for name, happens := range map[string]func(h *Holder, w *worker){
+	for name, event := range map[string]func(h *Holder, w *worker){
 		"job cancelled":          func(h *Holder, _ *worker) { h.cancelled.Learn("wk-1", time.Now()) },
 		"withdrawn by its owner": func(_ *Holder, w *worker) { w.entries["wk-1/0"].stopRequested = true },
 		"waited too long":        func(_ *Holder, w *worker) { w.entries["wk-1/0"].expiresAt = time.Now() },
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
-				happens(h, w)
+				event(h, w)
 				status, body := h.Report(testReport(1, 6, sent.Token-1))
 				answer, _ := body.(protocol.ReportAnswer)
 				if status != http.StatusOK || len(carriedTasks(body, protocol.VerbStart)) != 0 || answer.Token <= sent.Token {
@@ -105,9 +105,9 @@
 func TestAnswerDoesNotFenceStartsInFlight(t *testing.T) {
 	withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, sent protocol.Orders) {
 		w.commandInFlight, w.commandHasStarts = true, true
-		under := protocol.NewToken(w.slot.term, w.tokenSeq)
-		if _, body := h.Report(testReport(1, 6, sent.Token-1)); body.(protocol.ReportAnswer).Token != under {
-			t.Errorf("the answer voids %d: %+v", under, body)
+		inFlight := protocol.NewToken(w.slot.term, w.tokenSeq)
+		if _, body := h.Report(testReport(1, 6, sent.Token-1)); body.(protocol.ReportAnswer).Token != inFlight {
+			t.Errorf("the answer voids %d: %+v", inFlight, body)
 		}
 	})
 }
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -235,7 +235,7 @@
 	h.dropWorker(id)
 }
 
-// dropWorker removes a machine from the feed.
+// dropWorker forgets a machine's worker, and has the feed say that the machine is gone.
 func (h *Holder) dropWorker(id string) {
 	w := h.workersByID[id]
 	if w == nil {
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -219,11 +219,11 @@
 			m.receivesNothing, m.sendsNothing = false, false
 			// A restarted machine counts its sessions from the beginning, one per lease. (A leader would have
 			// returned it as silent long before.)
-			past := uint64(0)
+			sessions := uint64(0)
 			for _, rep := range m.sentReports {
-				past = max(past, rep.Session)
+				sessions = max(sessions, rep.Session)
 			}
-			advance(time.Duration(4+past) * c.WorkerLease())
+			advance(time.Duration(4+sessions) * c.WorkerLease())
 			if w := h.workersByID["host-000004"]; w == nil || !w.verified || w.lapsed || !s.complete || !h.startable(w) || m.running != (w.entries["wk-1/0"] != nil) {
 				rt.Fatalf("state not known again, running %v: %+v of %+v", m.running, h.workersByID["host-000004"], s)
 			}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -11,9 +11,9 @@
 	"daledyke/internal/protocol"
 )
 
-// Workers' reports: how a holder takes them in and answers them.
+// Workers' reports: how a holder processes and answers them.
 
-// Report takes in a worker's report and returns the answer to it.
+// Report processes a worker's report and returns the answer to it.
 func (h *Holder) Report(rep *protocol.Report) (status int, body any) {
 	slot := h.slotOf(rep.Machine)
 	s := h.slots[slot]
@@ -91,8 +91,8 @@
 	return w
 }
 
-// answerReport answers a report that was taken in, which renews the lease of the tasks there, unless the
-// worker receives no answers or a task's job is unknown.
+// answerReport answers an accepted report, which renews the lease of the tasks there, unless the worker
+// receives no answers or a task's job is unknown.
 func (h *Holder) answerReport(w *worker, rep *protocol.Report) (status int, body any) {
 	if w.ack.ignoresAnswers() {
 		// It receives no answers, and further ones would count as possible renewals. It is probed directly.
@@ -116,7 +116,7 @@
 	return rep.Newer(w.session, w.ticket) && rep.Token >= w.highestToken
 }
 
-// applyReport takes in a report or a direct answer; false if it is not newer than what is known.
+// applyReport updates a worker by a report or a direct answer; false if that is not newer than what is known.
 func (h *Holder) applyReport(w *worker, rep *protocol.Report) bool {
 	if !w.isNewer(rep) || rep.Session <= w.lapsedIn {
 		return false
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -25,8 +25,8 @@
 	h.bumpVersion()
 }
 
-// slotChanged takes in a slot's record. A term higher than this holder's shows that the slot was taken since:
-// this holder stops acting for it at once.
+// slotChanged processes a slot's record. A term higher than this holder's shows that the slot was taken
+// since: this holder stops acting for it at once.
 func (h *Holder) slotChanged(slot int, record *bookkeeping.Slot) {
 	h.slotRecords[slot] = record
 	if s := h.slots[slot]; s != nil && record.Term > s.term {
@@ -77,7 +77,7 @@
 	}()
 }
 
-// claimsTaken takes in that slots were taken; sessionsLost is the count of lost sessions when they were
+// claimsTaken is called once slots were taken; sessionsLost is the count of lost sessions when they were
 // claimed. If the session for which they were taken has ended since, even if the next one has not begun,
 // others may take the slots, and this holder must not act for them.
 func (h *Holder) claimsTaken(claims []bookkeeping.Claim, term uint64, sessionsLost int) {
@@ -125,7 +125,7 @@
 	return c, true
 }
 
-// addAdoptedSlots takes in that slots were taken under a new term.
+// addAdoptedSlots begins to act for slots that were taken under a new term.
 func (h *Holder) addAdoptedSlots(claims []bookkeeping.Claim, term uint64) {
 	for _, c := range claims {
 		s := &heldSlot{slot: c.Slot, term: term, adopted: time.Now(), awaited: map[string]bool{}, roster: bookkeeping.Roster{}, rosterIncomplete: !c.Listed()}
@@ -184,7 +184,7 @@
 	}()
 }
 
-// formerLeasesLapsed takes in that all leases which former holders of a slot may have renewed have lapsed:
+// formerLeasesLapsed is called once all leases that former holders of a slot may have renewed have lapsed:
 // its machines are empty, except those that may have received an answer of this holder and have not been
 // heard since. A machine that is cut off right after its first report here keeps its tasks longer than the
 // former leases, by the time between the adoption and that report.
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -22,7 +22,7 @@
 // the command; then it reboots, and would accept it. The task's entry is kept for as long as the command may
 // be in flight, whatever shows that the task is not there.
 func TestOpenStartKeepsItsTask(t *testing.T) {
-	for name, happens := range map[string]func(h *Holder, w *worker, lease time.Duration){
+	for name, event := range map[string]func(h *Holder, w *worker, lease time.Duration){
 		"higher token shown": func(h *Holder, w *worker, _ time.Duration) {
 			w.entries["wk-1/0"].expiresAt = time.Now() // no answer repeats the start
 			_, body := h.Report(testReport(1, 6, protocol.NewToken(7, 1)))
@@ -52,7 +52,7 @@
 			withUnansweredStart(t, func(t *testing.T, h *Holder, w *worker, _ protocol.Orders) {
 				lease := config.Surely(h.cfg.WorkerLease())
 				time.Sleep(time.Second)
-				happens(h, w, lease)
+				event(h, w, lease)
 				if e := w.entries["wk-1/0"]; e == nil || e.state != board.TaskStarting && e.cause != board.CauseLost {
 					t.Fatalf("its entry was dropped: %+v", e)
 				}
@@ -104,7 +104,7 @@
 			t.Fatalf("answered %d %+v", status, body)
 		}
 		if w.ticket != 50 || w.entries["wk-1/0"] == nil {
-			t.Errorf("its report was taken in: %+v", w)
+			t.Errorf("its report was accepted: %+v", w)
 		}
 		if !h.startable(w) || time.Since(w.lastPossibleRenewal()) > 0 {
 			t.Errorf("a possible copy makes the machine unusable, or does not count as a renewal: %+v", w)
@@ -150,13 +150,13 @@
 // only the slot's newest holder knows what runs there.
 func TestOnlyNewestHolderSettlesSlot(t *testing.T) {
 	o, js := newTestOwner(t)
-	asked := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
-	o.feed("c2", asked, holderNews(9, false), time.Now())
-	o.feed("c1", asked, holderNews(5, true), time.Now())
+	request := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
+	o.feed("c2", request, holderNews(9, false), time.Now())
+	o.feed("c1", request, holderNews(5, true), time.Now())
 	if js.shares[0].settled {
 		t.Fatal("settled by news of a former holder")
 	}
-	o.feed("c2", asked, holderNews(9, true, runningTask0), time.Now())
+	o.feed("c2", request, holderNews(9, true, runningTask0), time.Now())
 	if !js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
 		t.Errorf("not settled by news of the newest holder, or its task is unknown: %+v", o.board.Tasks)
 	}
@@ -166,17 +166,17 @@
 // that the slot's next holder, not heard yet, has renewed since.
 func TestNewsOfUnentitledHolderAreIgnored(t *testing.T) {
 	o, js := newTestOwner(t)
-	asked := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
-	if !o.feed("c1", asked, holderNews(5, false, runningTask0), time.Now()) {
+	request := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
+	if !o.feed("c1", request, holderNews(5, false, runningTask0), time.Now()) {
 		t.Fatal("news of an entitled holder are not believed")
 	}
 	stale := holderNews(5, true)
 	stale.Valid, stale.Full = false, true
-	if o.feed("c1", asked, stale, time.Now()) || js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
+	if o.feed("c1", request, stale, time.Now()) || js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
 		t.Errorf("believed: settled %v, tasks %v", js.shares[0].settled, o.board.Tasks)
 	}
 	stale.Entitled = true // all siblings granted it a moratorium
-	if !o.feed("c1", asked, stale, time.Now()) || !js.shares[0].settled || o.board.Tasks["wk-1"] != nil {
+	if !o.feed("c1", request, stale, time.Now()) || !js.shares[0].settled || o.board.Tasks["wk-1"] != nil {
 		t.Errorf("not believed: settled %v, tasks %v", js.shares[0].settled, o.board.Tasks)
 	}
 }
@@ -286,15 +286,15 @@
 		h.runQueuedAndTick()
 		w := h.workersByID["host-000004"]
 		_, body := h.Report(firstReportAfterRestart())
-		told := body.(protocol.ReportAnswer).Token
+		restartToken := body.(protocol.ReportAnswer).Token
 		w.tokenSeq++
 		direct := testReport(1, 3, protocol.NewToken(7, w.tokenSeq))
 		direct.Tasks = []protocol.TaskReport{{Task: "wk-1/0", Attempt: 3, State: protocol.TaskRunning}}
 		h.commandAnswered(w, protocol.Orders{Session: 1}, direct, true, nil)
 		if w.entries["wk-1/0"] == nil {
-			t.Fatalf("direct answer not taken in: %+v", w)
+			t.Fatalf("direct answer not accepted: %+v", w)
 		}
-		if h.Report(testReport(1, 2, told)); w.entries["wk-1/0"] == nil || w.ticket != 3 {
+		if h.Report(testReport(1, 2, restartToken)); w.entries["wk-1/0"] == nil || w.ticket != 3 {
 			t.Errorf("task dropped because of a copy: %+v", w)
 		}
 	})
@@ -325,16 +325,16 @@
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
 		h.runQueuedAndTick()
-		asked := FeedArgs{Caller: "c1", Incarnation: h.session.Term(), Since: 1}
-		if r := h.newsSince(asked); !r.Entitled || len(r.Slots) != 1 || len(r.Machines) != 1 || r.Version == asked.Since {
+		request := FeedArgs{Caller: "c1", Incarnation: h.session.Term(), Since: 1}
+		if r := h.newsSince(request); !r.Entitled || len(r.Slots) != 1 || len(r.Machines) != 1 || r.Version == request.Since {
 			t.Fatalf("%+v", r)
 		}
 		h.session.validUntil.Store(0)
-		if r := h.newsSince(asked); r.Entitled || r.Valid || len(r.Slots)+len(r.Machines)+len(r.Gone) != 0 || r.Version != asked.Since || r.Incarnation != asked.Incarnation {
+		if r := h.newsSince(request); r.Entitled || r.Valid || len(r.Slots)+len(r.Machines)+len(r.Gone) != 0 || r.Version != request.Since || r.Incarnation != request.Incarnation {
 			t.Errorf("%+v", r)
 		}
-		asked.Incarnation = 1 // of a former session
-		if r := h.newsSince(asked); r.Full || r.Incarnation != 1 {
+		request.Incarnation = 1 // of a former session
+		if r := h.newsSince(request); r.Full || r.Incarnation != 1 {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -119,8 +119,8 @@
 		h.markLapsed(w)
 	}
 	if w.lapsed && !w.verified && w.slot.ready && h.registry[w.id] == nil {
-		// It is not registered and has never shown a token of this holder: mostly an old report of a machine
-		// that was returned. If kept, it would be shown as silent for ever.
+		// It is not registered and has shown no token of this holder: mostly an old report of a machine that
+		// was returned. If it were kept, it would be shown as silent for ever.
 		h.dropWorker(w.id)
 		return
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-// markLapsed notes that a worker's lease, and with it all tasks on its machine, have surely ended.
+// markLapsed notes that a worker's lease has surely ended, and with it all tasks on its machine.
 func (h *Holder) markLapsed(w *worker) {
 	w.lapsed, w.lapsedIn = true, w.session
 	// In case the machine restarts: whatever it shows from now on is newer than all before.
