--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// A new holder answers a machine's first report and hears nothing more of the machine. It may have received
+// A new holder answers a machine's first report and receives no further one. The machine may have received
 // the answer and keep its tasks for a lease from then on, while all others are surely empty a lease after the
 // slot was taken. It must not count as empty together with them.
 func TestPossiblyReceivedAnswerExtendsLease(t *testing.T) {
@@ -249,19 +249,19 @@
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
 		h.runQueuedAndTick()
 		w := h.workersByID["host-000004"]
-		ticket, asked := uint64(5), 0
+		ticket, probes := uint64(5), 0
 		for begin := time.Now(); time.Since(begin) < c.WorkerLease()-time.Second; time.Sleep(250 * time.Millisecond) {
 			h.runQueuedAndTick()
 			if w.probedAt.After(begin.Add(2*c.ReportEvery())) && time.Since(w.probedAt) < 250*time.Millisecond {
-				ticket, asked = ticket+1, asked+1
+				ticket, probes = ticket+1, probes+1
 				h.commandAnswered(w, protocol.Orders{Session: 1}, testReport(1, ticket, protocol.NewToken(7, w.tokenSeq)), true, nil)
 			}
 			if since := time.Since(begin); w.unresponsive || h.machineView(w).Silent || since > h.unresponsiveAfter()+time.Second && h.startable(w) {
 				t.Fatalf("after %v: silent %v, usable %v", since, w.unresponsive, h.startable(w))
 			}
 		}
-		if asked < 2 || asked > 6 {
-			t.Errorf("probed %d times", asked)
+		if probes < 2 || probes > 6 {
+			t.Errorf("probed %d times", probes)
 		}
 		if status, _ := h.Report(testReport(1, ticket+1, protocol.NewToken(7, w.tokenSeq))); status != http.StatusOK {
 			t.Error("report refused:", status)
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -47,7 +47,7 @@
 }
 
 // desiredCommands returns the commands that lead from what is on a machine to what should be. A holder that
-// may not act as usual (mayAct is false) only stops tasks that nobody is to run any more. Whoever is entitled
+// may not act as usual (mayAct is false) only stops tasks that may not run any more. Any controller entitled
 // to a machine may do that: such commands are fenced by the slot's term, as all are, and undo no others.
 func (h *Holder) desiredCommands(w *worker, now time.Time, mayAct bool) []protocol.Command {
 	var out []protocol.Command
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -53,7 +53,8 @@
 // takeSlotsTimeout bounds an adoption.
 const takeSlotsTimeout = 8 * time.Second
 
-// adoptSlots takes the slots that are assigned to this controller and for which nobody can be acting.
+// adoptSlots takes the slots that are assigned to this controller and for which no other process can be
+// acting.
 func (h *Holder) adoptSlots() {
 	if h.adopting || !h.session.Valid() || h.latestWindow == nil {
 		return
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -77,7 +77,7 @@
 	saved   bool
 	// startToken is the token of the start command while its outcome is unknown.
 	startToken    protocol.Token
-	expiresAt     time.Time // end of a reservation, of the wait for room, or of the time that an exited task's room is kept
+	expiresAt     time.Time // of a reservation, of the wait for room, or of an exited task's kept room
 	reservedAhead bool      // reserved while its room is still in use
 	stopRequested bool
 	graceS        float64
