--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -44,7 +44,7 @@
 // mayTellUser reports whether a user is told that a job is cancelled, after all calls in flight have been handled.
 func (h *Holder) mayTellUser(job string) bool {
 	h.confirmation(job, time.Now())
-	h.told()
+	h.runQueuedAndTick()
 	return h.confirmation(job, time.Now()).allowed
 }
 
@@ -71,7 +71,7 @@
 		}
 		siblings[1].unreachable = false
 		time.Sleep(announceRetryInterval)
-		h.told()
+		h.runQueuedAndTick()
 		if !h.mayTellUser("wk-3") || !slices.Contains(siblings[1].acknowledged, "wk-3") {
 			t.Error("the user was not told although all siblings are reachable")
 		}
@@ -108,7 +108,7 @@
 		go func() {
 			done <- HolderRPC{h}.Announce(AnnounceArgs{Caller: "c1", Cancelled: []string{"wk-1"}}, &Nothing{})
 		}()
-		h.told()
+		h.runQueuedAndTick()
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 			}
 		}()
 		k := &Controller{holder: h}
-		read := &standing{job: pendingJob("wk-1")}
+		read := &jobStatus{job: pendingJob("wk-1")}
 		if st, err := k.confirm(ctx, read); err != nil || st.Status != protocol.Pending {
 			t.Fatalf("%+v, %v", st, err)
 		}
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -13,28 +13,28 @@
 	"daledyke/internal/protocol"
 )
 
-// asker is a user of one job who asks all controllers again and again, and several at a time. It
-// knows what had been answered when it asked, so that an answer that is older than that shows.
-type asker struct {
+// userClient is a user of one job who queries all controllers again and again, with several requests at a
+// time. It records what had been answered when it sent each request, so that it detects an older answer.
+type userClient struct {
 	w   *world
 	rng *rand.Rand
 	job *protocol.JobSpec
-	// accepted and final are what any answer said so far.
-	accepted bool
-	final    string
-	// ended is told when the job's last task has its result.
-	ended chan struct{}
+	// accepted and finalStatus are what any answer said so far.
+	accepted    bool
+	finalStatus string
+	// lastTaskDone is closed when the job's last task has its result.
+	lastTaskDone chan struct{}
 }
 
-// knows is what any answer said so far.
-func (a *asker) knows() (accepted bool, final string) {
-	a.w.em.Rules(func(*history.Checker) { accepted, final = a.accepted, a.final })
+// latestAnswers returns what any answer said so far.
+func (a *userClient) latestAnswers() (accepted bool, final string) {
+	a.w.em.Rules(func(*history.Checker) { accepted, final = a.accepted, a.finalStatus })
 	return accepted, final
 }
 
-// send makes one request of a controller.
-func (a *asker) send(node, method, path string, body any) {
-	accepted, final := a.knows()
+// send sends one request to a controller.
+func (a *userClient) send(node, method, path string, body any) {
+	accepted, final := a.latestAnswers()
 	status, raw, err := a.w.call("user", method, "front-"+node+path, body, 5*time.Second)
 	if err != nil || status >= 429 {
 		return
@@ -50,35 +50,35 @@
 	}
 	known := status == 200 || status == 201
 	if accepted && !known {
-		a.w.t.Errorf("%s %s %s at %s: %d, though it had been accepted", method, path, a.job.ID, node, status)
+		a.w.t.Errorf("%s %s %s at %s: %d after the job had been accepted", method, path, a.job.ID, node, status)
 	}
 	if final != "" && known && st.Status != final {
-		a.w.t.Errorf("%s %s at %s: %s, though it had been called %s", method, path, node, st.Status, final)
+		a.w.t.Errorf("%s %s at %s: %s after it had been %s", method, path, node, st.Status, final)
 	}
 	a.w.em.Rules(func(r *history.Checker) {
-		if a.final == final || st.Status == a.final { // the rules know of one question at a time
+		if a.finalStatus == final || st.Status == a.finalStatus { // the rules allow for one request at a time
 			r.Note(history.Event{At: a.w.em.Since(), Kind: kind, Job: a.job.ID, Code: status, Status: st.Status})
 		}
 		a.accepted = a.accepted || known
 		if st.Status == protocol.Done || st.Status == protocol.Cancelled {
-			a.final = st.Status
+			a.finalStatus = st.Status
 		}
 	})
 }
 
-func (a *asker) isAccepted() bool {
-	accepted, _ := a.knows()
+func (a *userClient) isAccepted() bool {
+	accepted, _ := a.latestAnswers()
 	return accepted
 }
 
-func (a *asker) isOver() bool {
-	_, final := a.knows()
+func (a *userClient) isOver() bool {
+	_, final := a.latestAnswers()
 	return final != ""
 }
 
-// burst asks every controller within some milliseconds, repeats the submission at one and, if it
-// is to be cancelled, does so at one; what comes first is drawn.
-func (a *asker) burst(cancel bool) {
+// burst queries every controller within some milliseconds, repeats the submission twice and, if cancel is
+// set, cancels the job; the controllers of these and the order are random.
+func (a *userClient) burst(cancel bool) {
 	var all []func()
 	for _, node := range a.w.names {
 		all = append(all, func() { a.send(node, http.MethodGet, "/v1/jobs/"+a.job.ID, nil) })
@@ -100,23 +100,23 @@
 	}
 }
 
-// live is the life of a user with one job: asked about right after it was accepted, cancelled or
-// at its end, and later.
-func (a *asker) live(cancelAt int) {
+// run submits the user's job and queries it right after it was accepted, when it is cancelled or ends, and
+// later.
+func (a *userClient) run(cancelAt int) {
 	for a.send(a.w.names[a.rng.IntN(len(a.w.names))], http.MethodPost, "/v1/jobs", a.job); !a.isAccepted(); {
 		time.Sleep(time.Second)
 		a.send(a.w.names[a.rng.IntN(len(a.w.names))], http.MethodPost, "/v1/jobs", a.job)
 	}
-	a.burst(cancelAt == cancelsAtOnce)
+	a.burst(cancelAt == cancelAtOnce)
 	a.burst(false)
 	select {
-	case <-a.ended:
+	case <-a.lastTaskDone:
 	case <-time.After(3 * time.Minute):
 	}
-	a.burst(cancelAt == cancelsAtEnd)
+	a.burst(cancelAt == cancelAtEnd)
 	for range 8 {
 		time.Sleep(time.Duration(a.rng.IntN(400)) * time.Millisecond)
-		a.burst(cancelAt == cancelsAtEnd && !a.isOver())
+		a.burst(cancelAt == cancelAtEnd && !a.isOver())
 	}
 	for range 60 {
 		if a.isOver() {
@@ -130,20 +130,20 @@
 }
 
 const (
-	cancelsAtOnce = 1 + iota
-	cancelsAtEnd
+	cancelAtOnce = 1 + iota
+	cancelAtEnd
 )
 
-// Users ask all controllers at once, repeat what they sent and cancel, right after a job was
-// accepted and at the moment at which its last task ends; nobody then hears less than was told
-// before, in a calm deployment as well as where answers are lost, news come late, the state service
-// is slow or refuses one, and controllers end.
-func TestAnswersNeverGoBack(t *testing.T) {
-	for name, troubles := range map[string]func(w *world, step func(string, ...string)){
-		"calm": func(*world, func(string, ...string)) {},
-		"news": func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
-		"lost": func(_ *world, step func(string, ...string)) { step("state-unheard", "0.4") },
-		"late": func(_ *world, step func(string, ...string)) {
+// Users query all controllers at once, repeat their submissions and cancel, right after a job was accepted
+// and when its last task ends. No later answer may know less than an earlier one, in a calm deployment as
+// well as where answers are lost, news are delayed, the state service is slow or refuses a controller, and
+// controllers crash.
+func TestAnswersNeverContradictEarlierOnes(t *testing.T) {
+	for name, faults := range map[string]func(w *world, step func(string, ...string)){
+		"calm":               func(*world, func(string, ...string)) {},
+		"delayed news":       func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
+		"lost state answers": func(_ *world, step func(string, ...string)) { step("state-unheard", "0.4") },
+		"late state answers": func(_ *world, step func(string, ...string)) {
 			for range 5 {
 				time.Sleep(10 * time.Second)
 				step("state-late", "4s")
@@ -151,8 +151,8 @@
 				step("state-late", "0s")
 			}
 		},
-		"slow": func(_ *world, step func(string, ...string)) { step("state-slow", "300ms") },
-		"ends": func(w *world, step func(string, ...string)) {
+		"slow state service": func(_ *world, step func(string, ...string)) { step("state-slow", "300ms") },
+		"crashes": func(w *world, step func(string, ...string)) {
 			step("lags", "c1", "1500ms")
 			for n := range 6 {
 				time.Sleep(9 * time.Second)
@@ -180,35 +180,35 @@
 				}
 				time.Sleep(3 * time.Second)
 				const users = 15
-				over := make(chan struct{})
+				done := make(chan struct{})
 				go func() {
-					troubles(w, func(verb string, args ...string) {
+					faults(w, func(verb string, args ...string) {
 						if err := w.step(verb, args); err != nil {
 							t.Error(err)
 						}
 					})
-					over <- struct{}{}
+					done <- struct{}{}
 				}()
 				for n := range users {
 					run := 5 + float64(n%7)
 					s := &protocol.JobSpec{ID: fmt.Sprintf("wk-%d", n+1), Class: "batch", Team: "free", Shape: protocol.Array, Priority: "normal", Tasks: 1,
 						Cores: 1, RAM: 1, Image: "img", ImageGB: 1, EstimateS: run}
-					a := &asker{w: w, rng: rand.New(rand.NewPCG(uint64(n), 7)), job: s, ended: make(chan struct{})}
+					a := &userClient{w: w, rng: rand.New(rand.NewPCG(uint64(n), 7)), job: s, lastTaskDone: make(chan struct{})}
 					w.upload(s, protocol.Seconds(run), 0, false)
-					w.em.Rules(func(*history.Checker) { ended[s.ID] = a.ended })
+					w.em.Rules(func(*history.Checker) { ended[s.ID] = a.lastTaskDone })
 					go func() {
 						time.Sleep(time.Duration(n) * 3 * time.Second)
-						a.live(n % 3)
+						a.run(n % 3)
 						if !a.isOver() {
-							t.Errorf("%s: nothing final is told", s.ID)
+							t.Errorf("%s: no final state was answered", s.ID)
 						}
-						over <- struct{}{}
+						done <- struct{}{}
 					}()
 				}
 				for range users + 1 {
-					<-over
+					<-done
 				}
-				time.Sleep(10 * time.Second) // the last answers
+				time.Sleep(10 * time.Second) // for the last answers
 			})
 		})
 	}
--- a/internal/coordination/cancelled_test.go
+++ b/internal/coordination/cancelled_test.go
@@ -57,7 +57,7 @@
 
 func (m *faultyWorker) snapshot() *protocol.Report {
 	m.ticket++
-	r := report(m.session, m.ticket, m.token)
+	r := testReport(m.session, m.ticket, m.token)
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		r.Tasks = append(r.Tasks, *m.tasks[name])
 	}
@@ -133,7 +133,7 @@
 	}
 	m.token, m.renewedAt = answer.Token, now
 	for _, c := range answer.Commands {
-		if job, _, _ := protocol.SplitTask(c.Task); c.Verb == protocol.VerbStart && h.over(job) {
+		if job, _, _ := protocol.SplitTask(c.Task); c.Verb == protocol.VerbStart && h.isJobOver(job) {
 			m.wrongStart = c.Task
 		}
 	}
@@ -199,11 +199,11 @@
 // takeOver replaces the holder of the machine's slot by a new one that knows only the records read so far.
 func (w *cancelSimulation) takeOver() {
 	w.term++
-	w.holder, _ = holderOf(w.ctx, w.c, w.dial, w.term, faultyMachine)
+	w.holder, _ = newTestHolder(w.ctx, w.c, w.dial, w.term, faultyMachine)
 	w.holder.syncedAt = time.Time{}
 	w.holder.watermark = membership.NewWatermark(nil)
-	w.holder.types["small"] = protocol.MachineType{Name: "small", Cores: 8, RAM: 64}
-	w.holder.obey(&bookkeeping.Window{Number: 1, Owners: []string{w.c.Name}, Assignment: []string{w.c.Name}})
+	w.holder.machineTypes["small"] = protocol.MachineType{Name: "small", Cores: 8, RAM: 64}
+	w.holder.adoptWindow(&bookkeeping.Window{Number: 1, Owners: []string{w.c.Name}, Assignment: []string{w.c.Name}})
 	for _, id := range w.jobs {
 		w.holder.jobChanged(pendingJob(id))
 	}
@@ -255,7 +255,7 @@
 func (w *cancelSimulation) requestStart(job string, attempt uint64) bool {
 	w.lastToken++
 	a := &AskArgs{Caller: w.c.Name, ID: w.lastToken, Window: 1, Starts: []Start{{Task: protocol.TaskName(job, 0), Attempt: attempt, Machine: faultyMachine}}}
-	reply, ok := w.holder.serve(a)
+	reply, ok := w.holder.handleAsk(a)
 	return ok && reply.Refused[0] == ""
 }
 
@@ -283,7 +283,7 @@
 					rt.Fatalf("%s was started by a holder that knows that its job is cancelled", machine.wrongStart)
 				}
 				if late != "" {
-					rt.Fatalf("%s runs %v after its user was told; records read %v ago; machine %+v, as known to its holder %+v", late, time.Since(w.toldAt[late]), time.Since(w.recordsAsOf), machine, w.holder.byID[faultyMachine])
+					rt.Fatalf("%s runs %v after its user was told; records read %v ago; machine %+v, as known to its holder %+v", late, time.Since(w.toldAt[late]), time.Since(w.recordsAsOf), machine, w.holder.workersByID[faultyMachine])
 				}
 			}
 			advance(5 * time.Second)
@@ -315,13 +315,13 @@
 			advance(4 * c.WorkerLease())
 			for _, id := range w.jobs {
 				if attempt++; w.toldAt[id].IsZero() && !slices.Contains(machine.runningJobs(), id) && !w.requestStart(id, attempt) {
-					rt.Fatalf("%s is not cancelled, but its start is refused: %+v", id, w.holder.byID[faultyMachine])
+					rt.Fatalf("%s is not cancelled, but its start is refused: %+v", id, w.holder.workersByID[faultyMachine])
 				}
 			}
 			advance(2 * c.ReportEvery())
 			for _, id := range w.jobs {
 				if w.toldAt[id].IsZero() && !slices.Contains(machine.runningJobs(), id) {
-					rt.Fatalf("%s is not cancelled, but was not started: %+v", id, w.holder.byID[faultyMachine])
+					rt.Fatalf("%s is not cancelled, but was not started: %+v", id, w.holder.workersByID[faultyMachine])
 				}
 			}
 		})
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -27,27 +27,27 @@
 // it in a later window that it has not seen yet. Its requests under the old window must be refused, since its
 // board lacks what other owners started in between.
 func TestRequestsUnderOutdatedWindowsAreRefused(t *testing.T) {
-	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), fences: map[string]protocol.Token{},
+	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), fences: map[string]protocol.Token{},
 		session: &Session{base: time.Now()}}
-	h.session.until.Store(int64(time.Hour))
+	h.session.validUntil.Store(int64(time.Hour))
 	window := func(n uint64, owners ...string) *bookkeeping.Window {
 		return &bookkeeping.Window{Number: n, Owners: owners}
 	}
 	accepts := func(number uint64) bool {
-		_, ok := h.serve(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: number})
+		_, ok := h.handleAsk(&AskArgs{Caller: "c0", ID: protocol.NewToken(1, 1), Window: number})
 		return ok
 	}
-	h.obey(window(1, "c0", "c1"))
-	h.obey(window(2, "c0", "c1"))
+	h.adoptWindow(window(1, "c0", "c1"))
+	h.adoptWindow(window(2, "c0", "c1"))
 	if !accepts(1) || !accepts(2) || accepts(3) {
 		t.Error("consecutive windows with equal owners must be accepted, a later window refused")
 	}
-	h.obey(window(3, "c1"))
-	h.obey(window(4, "c0", "c1"))
+	h.adoptWindow(window(3, "c1"))
+	h.adoptWindow(window(4, "c0", "c1"))
 	if accepts(2) || !accepts(4) {
 		t.Error("a request under a window from before the owner lost its range was served")
 	}
-	h.obey(window(6, "c0", "c1"))
+	h.adoptWindow(window(6, "c0", "c1"))
 	if accepts(4) {
 		t.Error("a request was served although a window was skipped, whose owners are unknown")
 	}
@@ -202,21 +202,21 @@
 // Admission goes by blocks: the owner of a job may not start tasks in blocks that others own. A window that
 // starts to divide jobs makes earlier requests void, though the ranges of the ring stay the same.
 func TestAdmissionChecksTheOwnerOfTheBlock(t *testing.T) {
-	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
-		jobs: map[string]*bookkeeping.Job{}, byID: map[string]*worker{}, slots: map[int]*heldSlot{}}
+	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
+		jobs: map[string]*bookkeeping.Job{}, workersByID: map[string]*worker{}, slots: map[int]*heldSlot{}}
 	s := &protocol.JobSpec{ID: "wk-1", Shape: protocol.Array, Tasks: 3 * bookkeeping.BlockTasks}
 	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, Seat: bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s)}}
 	slot := &heldSlot{}
-	h.jobs[s.ID], h.slots[0], h.byID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
+	h.jobs[s.ID], h.slots[0], h.workersByID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
 	refusal := func(caller string, index int) string {
-		return h.start(&AskArgs{Caller: caller}, Start{Task: protocol.TaskName(s.ID, index), Machine: "host-1"}, time.Now())
+		return h.admitStart(&AskArgs{Caller: caller}, Start{Task: protocol.TaskName(s.ID, index), Machine: "host-1"}, time.Now())
 	}
-	h.obey(&bookkeeping.Window{Number: 5, Owners: controllers})
+	h.adoptWindow(&bookkeeping.Window{Number: 5, Owners: controllers})
 	jobOwner := h.window.Owner(j.Token)
 	if reason := refusal(jobOwner, s.Tasks-1); reason == "not the owner" {
 		t.Error("the owner of an undivided job was refused")
 	}
-	h.obey(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
+	h.adoptWindow(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
 	if h.ownersSince != 6 {
 		t.Errorf("owners since window %d", h.ownersSince)
 	}
@@ -236,16 +236,16 @@
 // task meanwhile, and ends when the leader drops the machine. A request with a lower number than the last one
 // has no effect.
 func TestDrainRequests(t *testing.T) {
-	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, byID: map[string]*worker{}}
+	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, workersByID: map[string]*worker{}}
 	for _, id := range []string{"host-1", "host-2", "host-3"} {
-		h.byID[id] = &worker{id: id, slot: &heldSlot{}, entries: map[string]*entry{}}
+		h.workersByID[id] = &worker{id: id, slot: &heldSlot{}, entries: map[string]*entry{}}
 	}
-	h.byID["host-2"].entries["wk-1/0"] = &entry{task: "wk-1/0", state: board.TaskReserved}
-	h.byID["host-3"].entries["wk-1/1"] = &entry{task: "wk-1/1", state: protocol.TaskRunning}
-	h.byID["host-3"].suspect = true
+	h.workersByID["host-2"].entries["wk-1/0"] = &entry{task: "wk-1/0", state: board.TaskReserved}
+	h.workersByID["host-3"].entries["wk-1/1"] = &entry{task: "wk-1/1", state: protocol.TaskRunning}
+	h.workersByID["host-3"].suspect = true
 	drained := func() (ids []string) {
-		for id, w := range h.byID {
-			if time.Now().Before(w.drainTill) {
+		for id, w := range h.workersByID {
+			if time.Now().Before(w.drainUntil) {
 				ids = append(ids, id)
 			}
 		}
@@ -253,10 +253,10 @@
 		return ids
 	}
 	h.drain(&DrainArgs{Wish: 100, Machines: []string{"host-1", "host-2", "host-3"}})
-	if got := drained(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.byID["host-2"].entries) != 1 {
+	if got := drained(); !slices.Equal(got, []string{"host-1", "host-3"}) || len(h.workersByID["host-2"].entries) != 1 {
 		t.Errorf("draining: %v", got)
 	}
-	if v := h.view(h.byID["host-1"]); v.Drained != 100 {
+	if v := h.machineView(h.workersByID["host-1"]); v.Drained != 100 {
 		t.Errorf("drained for request %d", v.Drained)
 	}
 	h.drain(&DrainArgs{Wish: 90, Machines: nil})
@@ -264,7 +264,7 @@
 		t.Errorf("a former leader's request took effect: %v", got)
 	}
 	h.drain(&DrainArgs{Wish: 101, Machines: []string{"host-1"}})
-	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.byID["host-1"].drainWish != 100 {
+	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.workersByID["host-1"].drainWish != 100 {
 		t.Errorf("draining: %v", got)
 	}
 }
--- a/internal/coordination/failures.go
+++ b/internal/coordination/failures.go
@@ -17,45 +17,45 @@
 
 // noteFailure records that a job's task failed on a machine.
 func (h *Holder) noteFailure(w *worker, job string) {
-	w.errorsBy[job] = true
+	w.failedJobs[job] = true
 	h.judgeMachine(w)
 }
 
 func (h *Holder) noteSuccess(w *worker) {
-	w.soundAt = time.Now()
-	clear(w.errorsBy)
+	w.lastSuccess = time.Now()
+	clear(w.failedJobs)
 	h.judgeMachine(w)
 }
 
 // judgeMachine updates the doubt and the suspicion of a machine.
 func (h *Holder) judgeMachine(w *worker) {
 	var opinions []placement.Verdict
-	for job := range w.errorsBy {
+	for job := range w.failedJobs {
 		j, opinion := h.jobs[job], h.opinions[job]
 		switch {
 		case j != nil && j.State == protocol.Done:
 			opinion = placement.NotAtFault
 		case j != nil && j.Final():
-			delete(w.errorsBy, job) // cancelled: its opinion will never be known
+			delete(w.failedJobs, job) // cancelled: its opinion will never be known
 			continue
 		}
 		opinions = append(opinions, opinion)
 	}
 	doubted := time.Duration(0)
-	if !w.doubted.IsZero() {
-		doubted = time.Since(w.doubted)
+	if !w.quarantinedSince.IsZero() {
+		doubted = time.Since(w.quarantinedSince)
 	}
 	doubt, suspect := placement.JudgeMachine(opinions, doubted)
-	if doubt != !w.doubted.IsZero() {
-		w.doubted = time.Time{}
+	if doubt != !w.quarantinedSince.IsZero() {
+		w.quarantinedSince = time.Time{}
 		if doubt {
-			w.doubted = time.Now()
+			w.quarantinedSince = time.Now()
 		}
-		h.touch(w)
+		h.markChanged(w)
 	}
 	if suspect != w.suspect {
 		w.suspect = suspect
-		h.touch(w)
+		h.markChanged(w)
 		slog.Info("machine judged", "machine", w.id, "suspect", suspect, "failed", len(opinions))
 	}
 }
@@ -66,8 +66,8 @@
 		return
 	}
 	h.opinions[job] = opinion
-	for _, w := range h.byID {
-		if w.errorsBy[job] {
+	for _, w := range h.workersByID {
+		if w.failedJobs[job] {
 			h.judgeMachine(w)
 		}
 	}
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -86,7 +86,7 @@
 func (r HolderRPC) Owed(_ OwedArgs, reply *OwedReply) error {
 	remaining, ok := askFor(r.h.ctx, &r.h.actor, func() time.Duration { return membership.RemainingMoratorium(r.h.moratoriumRequested, time.Now()) })
 	if !ok {
-		return errNotNow
+		return errRequestVoid
 	}
 	reply.ForMs = remaining.Milliseconds() + 1
 	return nil
@@ -141,7 +141,7 @@
 func (r HolderRPC) Promise(a PromiseArgs, reply *PromiseReply) error {
 	answer, ok := askFor(r.h.ctx, &r.h.actor, func() PromiseReply { return r.h.answerMoratoriumRequest(&a) })
 	if !ok {
-		return errNotNow
+		return errRequestVoid
 	}
 	*reply = answer
 	return nil
@@ -159,13 +159,13 @@
 		RecordsLoaded:  !h.syncedAt.IsZero(),
 		RequesterAlive: member != nil && member.Term == a.Term,
 	}
-	if h.served != nil {
-		grantor.Unserved = now.Sub(h.served())
+	if h.stateLastServed != nil {
+		grantor.Unserved = now.Sub(h.stateLastServed())
 	}
 	reply := PromiseReply{Given: grantor.MayGrant(), AgeMs: now.Sub(h.started).Milliseconds()}
 	if reply.Given {
 		duration := min(max(membership.LegacyMoratoriumDuration, time.Duration(a.ForMs)*time.Millisecond), membership.MoratoriumDuration)
-		h.granted[a.Caller] = h.granted[a.Caller].Extend(now, duration)
+		h.grantedMoratoria[a.Caller] = h.grantedMoratoria[a.Caller].Extend(now, duration)
 	}
 	// The request was in flight for at most the time that its caller waits for the reply.
 	watermarkAge := min(max(0, time.Duration(a.SinceMs)*time.Millisecond), maxWatermarkAge)
@@ -173,7 +173,7 @@
 	var complete bool
 	reply.Cancelled, complete = h.cancelled.Since(since)
 	reply.Whole = complete && a.SinceMs > 0
-	if grantor.RecordsLoaded && !since.Before(h.follows) {
+	if grantor.RecordsLoaded && !since.Before(h.followedSince) {
 		reply.SyncedMs = now.Sub(h.syncedAt).Milliseconds() + 1
 	}
 	return reply
@@ -182,7 +182,7 @@
 // mayTakeOver reports whether this process may take over slots of the named holder.
 func (h *Holder) mayTakeOver(holder string) bool {
 	now := time.Now()
-	return holder == "" || holder == h.cfg.Name || membership.MayTakeOver(h.boundUntil, h.granted[holder].Until, now)
+	return holder == "" || holder == h.cfg.Name || membership.MayTakeOver(h.boundUntil, h.grantedMoratoria[holder].Until, now)
 }
 
 // entitled reports whether this holder is certainly the only controller entitled to its workers.
@@ -199,7 +199,7 @@
 func (h *Holder) mayConfirm(job string) bool {
 	now := time.Now()
 	h.cancelled.Learn(job, now)
-	return membership.MayConfirm(h.cancelled.KnownSince(job), h.boundUntil, h.granted, now)
+	return membership.MayConfirm(h.cancelled.KnownSince(job), h.boundUntil, h.grantedMoratoria, now)
 }
 
 // requestMoratorium requests a moratorium of all siblings while the session is near its end or may have
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -45,7 +45,7 @@
 	unresolved         map[string]*jobState
 	registeredMachines map[string]*bookkeeping.Machine
 	rosters            map[int]bookkeeping.Roster
-	removedMachines    recent // machines that were dropped from the registry
+	removedMachines    recentNames // machines that were dropped from the registry
 
 	windows          []*bookkeeping.Window // consecutive windows that were obeyed, bounded in number
 	latestWindow     *bookkeeping.Window
--- a/internal/coordination/quota_view.go
+++ b/internal/coordination/quota_view.go
@@ -32,7 +32,7 @@
 	for id := range o.board.Tasks {
 		if js := o.jobs[id]; js != nil {
 			if account := o.account(js); account != "" {
-				placed, _ := o.placed(id)
+				placed, _ := o.countTasks(id)
 				ledger.AddUse(account, js.job.Spec.Need().Scale(float64(placed)))
 			}
 		}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -23,12 +23,12 @@
 // connections to workers would let their leases expire while the state service and its siblings see no fault.
 func (h *Holder) checkReachability(now time.Time) {
 	if !h.mayAnswer() {
-		h.invalid = now
+		h.lastNotAnswering = now
 	}
 	// Workers that received 503 while this holder could not answer have tried other controllers. Without
 	// this delay, an outage of the state service made all controllers declare themselves unreachable at the
 	// same time and move their slots.
-	if h.session.WorkersUnreachable() || now.Sub(h.invalid) < h.cfg.ReportEvery()*3 {
+	if h.session.WorkersUnreachable() || now.Sub(h.lastNotAnswering) < h.cfg.ReportEvery()*3 {
 		return
 	}
 	total, silent := 0, 0
@@ -39,7 +39,7 @@
 		}
 	}
 	var addrs []string
-	for _, w := range h.byID {
+	for _, w := range h.workersByID {
 		if !w.verified || w.lapsed {
 			continue
 		}
@@ -54,20 +54,20 @@
 	// this check, whenever machines briefly could not send, all controllers declared themselves unreachable
 	// and all slots moved.
 	reportedElsewhere := now.Sub(h.reportedElsewhereAt) < h.misroutedMaxAge()
-	if total < 3 || 3*silent <= 2*total || h.probing || !reportedElsewhere && len(addrs) == 0 {
+	if total < 3 || 3*silent <= 2*total || h.checkingReachability || !reportedElsewhere && len(addrs) == 0 {
 		return
 	}
-	h.probing = true
+	h.checkingReachability = true
 	go func() {
 		if !reportedElsewhere && h.anyReachable(addrs) {
 			slog.Info("machines can't reach any controller", "silent", silent, "of", total)
 			pause(h.ctx, probeInterval)
-			h.tell(func() { h.probing = false })
+			h.tell(func() { h.checkingReachability = false })
 			return
 		}
 		slog.Info("workers can't reach this controller", "silent", silent, "of", total)
 		h.declareUnreachable(addrs, now.Add(maxUnreachable))
-		h.tell(func() { h.probing = false })
+		h.tell(func() { h.checkingReachability = false })
 	}()
 }
 
@@ -130,7 +130,7 @@
 		return
 	}
 	report := protocol.Report{Session: stray.Session, Ticket: stray.Ticket}
-	if w := h.byID[stray.Machine]; w != nil && !report.Newer(w.session, w.ticket) {
+	if w := h.workersByID[stray.Machine]; w != nil && !report.Newer(w.session, w.ticket) {
 		return
 	}
 	if at := receivedAt.Add(-time.Duration(stray.AgoMs) * time.Millisecond); at.After(s.adopted) && at.After(h.reportedElsewhereAt) {
--- a/internal/coordination/serve.go
+++ b/internal/coordination/serve.go
@@ -7,42 +7,41 @@
 	"daledyke/internal/board"
 )
 
-// What a holder serves to its siblings and to its own controller.
+// The calls that a holder serves to its siblings and to its own controller.
 
-// HolderRPC is what siblings may call, and the controller itself alike.
+// HolderRPC is the service that siblings, and the controller itself, may call.
 type HolderRPC struct{ h *Holder }
 
-var errNotNow = errors.New("request is void or the holder may not act")
+var errRequestVoid = errors.New("request is void or the holder may not act")
 
 // Ask carries out an owner's request.
 func (r HolderRPC) Ask(a AskArgs, reply *AskReply) error {
 	ok := false
 	var out AskReply
-	if !r.h.ask(r.h.ctx, func() { out, ok = r.h.serve(&a) }) || !ok {
-		return errNotNow
+	if !r.h.ask(r.h.ctx, func() { out, ok = r.h.handleAsk(&a) }) || !ok {
+		return errRequestVoid
 	}
 	*reply = out
 	return nil
 }
 
-// Feed answers a controller's question for news, after a wait if there is
-// none. It runs on the caller's goroutine.
+// Feed returns a controller's news, after a wait if there are none. It runs on the caller's goroutine.
 func (r HolderRPC) Feed(a FeedArgs, reply *board.News) error { return r.h.feed(a, reply) }
 
-// drainFor is how long a wish to drain stands without being repeated.
-const drainFor = 12 * time.Second
+// drainLifetime is how long a drain request stands without being repeated.
+const drainLifetime = 12 * time.Second
 
-// Drain keeps machines free of new tasks, and no others that were before.
+// Drain keeps the given machines free of new tasks, and ends this for all others.
 func (r HolderRPC) Drain(a DrainArgs, _ *Nothing) error {
 	r.h.tell(func() { r.h.drain(&a) })
 	return nil
 }
 
 func (h *Holder) drain(a *DrainArgs) {
-	if a.Wish < h.drainsFor {
-		return // of a former leader
+	if a.Wish < h.lastDrainWish {
+		return // from a former leader
 	}
-	h.drainsFor = a.Wish
+	h.lastDrainWish = a.Wish
 	wanted, vacate := make(map[string]bool, len(a.Machines)), make(map[string]bool, len(a.Vacate))
 	for _, id := range a.Machines {
 		wanted[id] = true
@@ -51,28 +50,28 @@
 		wanted[id], vacate[id] = true, true
 	}
 	now := time.Now()
-	for id, w := range h.byID {
-		drains := now.Before(w.drainTill)
+	for id, w := range h.workersByID {
+		draining := now.Before(w.drainUntil)
 		switch {
-		case wanted[id] && !vacate[id] && !drains && !w.suspect && len(w.entries) > 0:
-			// It got work that the leader has not seen yet: it is not idle any more.
+		case wanted[id] && !vacate[id] && !draining && !w.suspect && len(w.entries) > 0:
+			// It got work that the leader has not seen yet, so it is not idle any more.
 		case wanted[id]:
-			if !drains {
+			if !draining {
 				w.drainWish = a.Wish
 			}
-			w.drainTill = now.Add(drainFor)
+			w.drainUntil = now.Add(drainLifetime)
 			for name, e := range w.entries {
 				if e.state == board.TaskReserved || e.state == board.TaskQueued {
 					delete(w.entries, name)
 				}
 			}
-			if !drains || len(w.entries) == 0 || w.vacates != vacate[id] {
-				h.touch(w)
+			if !draining || len(w.entries) == 0 || w.vacating != vacate[id] {
+				h.markChanged(w)
 			}
-			w.vacates = vacate[id]
-		case drains:
-			w.drainTill = time.Time{}
-			h.touch(w)
+			w.vacating = vacate[id]
+		case draining:
+			w.drainUntil = time.Time{}
+			h.markChanged(w)
 		}
 	}
 }
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -18,7 +18,7 @@
 
 // runningReport returns a machine's report that contains running tasks.
 func runningReport(ticket uint64, token protocol.Token, tasks ...string) *protocol.Report {
-	r := report(1, ticket, token)
+	r := testReport(1, ticket, token)
 	for _, t := range tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t, Attempt: 3, State: protocol.TaskRunning})
 	}
@@ -75,10 +75,10 @@
 		if got := stoppedTasks(body); len(got) > 0 {
 			t.Errorf("the answer stops %v, want none", got)
 		}
-		w := h.byID["host-000004"]
-		w.busy = true // a direct command stays in flight
-		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, token: protocol.NewToken(7, w.seq)}
-		inFlight := protocol.NewToken(7, w.seq)
+		w := h.workersByID["host-000004"]
+		w.commandInFlight = true // a direct command stays in flight
+		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, startToken: protocol.NewToken(7, w.tokenSeq)}
+		inFlight := protocol.NewToken(7, w.tokenSeq)
 		cancelled := *h.jobs["wk-1"]
 		cancelled.Record, cancelled.State = protocol.Cancelled, protocol.Cancelled
 		h.jobChanged(&cancelled)
@@ -90,11 +90,11 @@
 			t.Errorf("status %d, stopped %v, answer %+v, token in flight %d", status, got, body, inFlight)
 		}
 		// An unknown job may be cancelled, so nothing is renewed until the job has been looked up.
-		if status, _ := h.Report(runningReport(7, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusServiceUnavailable {
+		if status, _ := h.Report(runningReport(7, protocol.NewToken(7, w.tokenSeq), "wk-9/0")); status != http.StatusServiceUnavailable {
 			t.Errorf("status for a task of an unknown job: %d", status)
 		}
 		h.jobChanged(pendingJob("wk-9"))
-		if status, _ := h.Report(runningReport(8, protocol.NewToken(7, w.seq), "wk-9/0")); status != http.StatusOK {
+		if status, _ := h.Report(runningReport(8, protocol.NewToken(7, w.tokenSeq), "wk-9/0")); status != http.StatusOK {
 			t.Errorf("status for a task of a job that has been looked up: %d", status)
 		}
 	})
@@ -129,7 +129,7 @@
 		h.moratoriumPeers = []MoratoriumCaller{sibling}
 		h.watermark = membership.NewWatermark([]string{"c1"})
 		h.synced(time.Now())
-		setSessionLeft := func(d time.Duration) { h.session.until.Store(int64(time.Since(h.session.base) + d)) }
+		setSessionLeft := func(d time.Duration) { h.session.validUntil.Store(int64(time.Since(h.session.base) + d)) }
 		setSessionLeft(3 * time.Second)
 		h.members["c1"] = &bookkeeping.Member{Generation: bookkeeping.Generation}
 		advance := func(d time.Duration) {
@@ -219,7 +219,7 @@
 		reporting := func(d time.Duration) *fakeMoratoriumSibling {
 			return &fakeMoratoriumSibling{owed: OwedReply{ForMs: d.Milliseconds()}}
 		}
-		silent := &fakeMoratoriumSibling{owedErr: errNotNow}
+		silent := &fakeMoratoriumSibling{owedErr: errRequestVoid}
 		for name, x := range map[string]struct {
 			siblings []MoratoriumCaller
 			bound    time.Duration
