--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -12,11 +12,11 @@
 // This file detects whether workers can reach this controller. A controller that they cannot reach gives up its
 // slots to others.
 
-// probeInterval is how often a controller that its workers cannot reach checks whether they are reachable again.
+// reachabilityProbeInterval is how often a controller that its workers cannot reach checks whether they are reachable again.
 // After maxUnreachable it requests workers regardless, since those that it knew may be gone.
 const (
-	probeInterval  = 5 * time.Second
-	maxUnreachable = 4 * time.Minute
+	reachabilityProbeInterval = 5 * time.Second
+	maxUnreachable            = 4 * time.Minute
 )
 
 // checkReachability checks whether workers can still reach this controller. A controller that has lost only its
@@ -61,7 +61,7 @@
 	go func() {
 		if !reportedElsewhere && h.anyReachable(addrs) {
 			slog.Info("machines can't reach any controller", "silent", silent, "of", total)
-			pause(h.ctx, probeInterval)
+			pause(h.ctx, reachabilityProbeInterval)
 			h.tell(func() { h.checkingReachability = false })
 			return
 		}
@@ -78,7 +78,7 @@
 func (h *Holder) declareUnreachable(addrs []string, deadline time.Time) {
 	err := h.session.SetWorkersUnreachable(h.ctx, true)
 	for h.ctx.Err() == nil && time.Now().Before(deadline) {
-		pause(h.ctx, probeInterval)
+		pause(h.ctx, reachabilityProbeInterval)
 		if len(addrs) > 0 && h.workers.Reachable(h.ctx, addrs[rand.IntN(len(addrs))]) {
 			break
 		}
