--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -12,7 +12,7 @@
 	"daledyke/internal/transport"
 )
 
-// What a holder has its workers do.
+// The commands that a holder sends to its workers.
 
 func (h *Holder) need(e *entry) protocol.Room {
 	if j := h.jobs[e.job]; j != nil {
@@ -21,10 +21,10 @@
 	return protocol.Room{}
 }
 
-// free is the room left beside all that is or may be on the machine; queued
-// tells whether tasks that wait for room count too.
-func (h *Holder) free(w *worker, queued bool) protocol.Room {
-	t, ok := h.types[w.rig]
+// freeRoom is the room left beside all that is or may be on the machine; queued tells whether tasks that wait
+// for room count, too.
+func (h *Holder) freeRoom(w *worker, queued bool) protocol.Room {
+	t, ok := h.machineTypes[w.machineType]
 	if !ok {
 		return protocol.Room{}
 	}
@@ -32,7 +32,7 @@
 	for _, e := range w.entries {
 		if e.takesRoom() && (queued || e.state != board.TaskQueued) {
 			if h.jobs[e.job] == nil {
-				return protocol.Room{} // what it takes will be known soon
+				return protocol.Room{} // the job, and so its need, will be known soon
 			}
 			r = r.Sub(h.need(e))
 		}
@@ -40,49 +40,48 @@
 	return r
 }
 
-// stopCommand stops a task, which has so many seconds to save. It shares nothing with what the
-// holder keeps: commands are written by other goroutines.
+// stopCommand stops a task, which gets graceS seconds to save. The command shares no memory with the holder's
+// state, because other goroutines encode it.
 func stopCommand(task string, attempt uint64, graceS float64) protocol.Command {
 	return protocol.Command{Verb: protocol.VerbStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
-// desiredCommands works out which commands lead from what is on a machine to what should be. A holder
-// that may not act as usual stops what nobody is to run any more, and no more: whoever is
-// entitled to a machine may, since such commands are fenced by the slot's term as all are, and
-// undo no others.
-func (h *Holder) desiredCommands(w *worker, now time.Time, acts bool) []protocol.Command {
+// desiredCommands returns the commands that lead from what is on a machine to what should be. A holder that
+// may not act as usual (mayAct is false) only stops tasks that may not run any more. Any controller entitled
+// to a machine may do that: such commands are fenced by the slot's term, as all are, and undo no others.
+func (h *Holder) desiredCommands(w *worker, now time.Time, mayAct bool) []protocol.Command {
 	var out []protocol.Command
 	for _, e := range w.entries {
 		j := h.jobs[e.job]
-		over := h.over(e.job)
+		jobOver := h.isJobOver(e.job)
 		switch {
 		case e.exited():
-			// A result is kept on the machine until it is recorded.
-			if acts && (e.reap || over || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.sent) > 2*time.Second {
-				e.sent = now
+			// A result stays on the machine until it is recorded.
+			if mayAct && (e.forgetRequested || jobOver || e.cause == protocol.CauseDone && j != nil && j.TaskDone(e.index)) && now.Sub(e.lastSentAt) > 2*time.Second {
+				e.lastSentAt = now
 				out = append(out, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
 			}
 		case e.unconfirmed():
-		case over || acts && e.stop:
-			grace := e.grace
-			if over {
+		case jobOver || mayAct && e.stopRequested:
+			grace := e.graceS
+			if jobOver {
 				grace = 0
 			}
-			if now.Sub(e.sent) > 3*time.Second && (e.state != protocol.TaskFlushing || grace == 0 || over) {
-				e.sent = now
+			if now.Sub(e.lastSentAt) > 3*time.Second && (e.state != protocol.TaskFlushing || grace == 0 || jobOver) {
+				e.lastSentAt = now
 				out = append(out, stopCommand(e.task, e.attempt, grace))
 			}
 		}
 	}
-	if !acts {
+	if !mayAct {
 		return out
 	}
-	room := h.free(w, false)
+	room := h.freeRoom(w, false)
 	for _, e := range w.entries {
 		if e.state != board.TaskQueued {
 			continue
 		}
-		if h.jobs[e.job] == nil || h.over(e.job) || !h.startable(w) {
+		if h.jobs[e.job] == nil || h.isJobOver(e.job) || !h.startable(w) {
 			delete(w.entries, e.task)
 			continue
 		}
@@ -95,24 +94,22 @@
 	return out
 }
 
-// isSettled tells whether no command to the worker is due, or will be before
-// something changes.
+// isSettled reports whether no command to the worker is due, or will be before something changes.
 func (h *Holder) isSettled(w *worker) bool {
 	for _, e := range w.entries {
-		if e.stop || e.unconfirmed() || e.exited() || h.over(e.job) {
+		if e.stopRequested || e.unconfirmed() || e.exited() || h.isJobOver(e.job) {
 			return false
 		}
 	}
 	return true
 }
 
-// stopsCancelled are the commands that an answer to a report carries along, so that it renews
-// nothing that is known to be cancelled (invariant 9): a worker that takes the answer in
-// carries them out with it, and one that does not lives by what it heard before. known is
-// false if a task runs there of which it is not known whether it is cancelled. The commands
-// may be repeated and come late, as any that stop; starts that are under way of such tasks
-// are fenced by a higher token.
-func (h *Holder) stopsCancelled(w *worker, rep *protocol.Report) (stops []protocol.Command, known bool) {
+// cancellationStops returns the stops that the answer to a report contains, so that the answer renews nothing
+// that is known to be cancelled (invariant 9): a worker that receives the answer carries them out with it,
+// and one that does not gets no renewal. known is false if a task runs there of which it is unknown whether
+// it is cancelled. The commands may be repeated and arrive late, as all stops may; starts of such tasks that
+// are in flight are fenced by a higher token.
+func (h *Holder) cancellationStops(w *worker, rep *protocol.Report) (stops []protocol.Command, known bool) {
 	stops = []protocol.Command{}
 	stop := func(task string, attempt uint64) {
 		if !slices.ContainsFunc(stops, func(c protocol.Command) bool { return c.Task == task && c.Attempt == attempt }) {
@@ -123,51 +120,50 @@
 		id, _, _ := protocol.SplitTask(t.Task)
 		switch {
 		case t.State == protocol.TaskExited:
-		case h.over(id):
+		case h.isJobOver(id):
 			stop(t.Task, t.Attempt)
 		case h.jobs[id] == nil:
 			return nil, false
 		}
 	}
-	fence := false
+	needsFence := false
 	for _, e := range w.entries {
-		if !h.over(e.job) || e.exited() || e.state == board.TaskReserved || e.state == board.TaskQueued {
+		if !h.isJobOver(e.job) || e.exited() || e.state == board.TaskReserved || e.state == board.TaskQueued {
 			continue
 		}
 		if e.unconfirmed() {
-			fence = true
+			needsFence = true
 		}
-		stop(e.task, e.attempt) // it may have started since the report was sent
+		stop(e.task, e.attempt) // it may have started after the report was sent
 	}
-	if fence {
-		w.seq++
+	if needsFence {
+		w.tokenSeq++
 	}
 	return stops, true
 }
 
-// sendCommands sends a worker the commands it needs. One direct command is under way
-// at a time; each has a token of its own, so that a report with a higher one
-// proves that it was carried out or never will be.
+// sendCommands sends a worker the commands that are due. One direct command is in flight at a time. Each has
+// its own token, so that a report with a higher one proves that the command was carried out or never will be.
 func (h *Holder) sendCommands(w *worker) {
 	now := time.Now()
-	if w.busy || w.lapsed || w.session == 0 || now.Before(w.holdOff) || !h.entitled() || h.slots[w.slot.slot] != w.slot {
+	if w.commandInFlight || w.lapsed || w.session == 0 || now.Before(w.backoffUntil) || !h.entitled() || h.slots[w.slot.slot] != w.slot {
 		return
 	}
-	acts := h.session.Valid() && h.mayAnswer()
+	mayAct := h.session.Valid() && h.mayAnswer()
 	var cmds []protocol.Command
 	if w.verified {
-		if cmds = h.desiredCommands(w, now, acts); len(cmds) == 0 && !(acts && w.probeDue) {
-			w.settled = acts && h.isSettled(w)
+		if cmds = h.desiredCommands(w, now, mayAct); len(cmds) == 0 && !(mayAct && w.probeDue) {
+			w.settled = mayAct && h.isSettled(w)
 			return
 		}
-	} else if !acts {
+	} else if !mayAct {
 		return
 	}
-	w.seq++
-	orders := protocol.Orders{Token: protocol.NewToken(w.slot.term, w.seq), Session: w.session, Commands: cmds}
+	w.tokenSeq++
+	orders := protocol.Orders{Token: protocol.NewToken(w.slot.term, w.tokenSeq), Session: w.session, Commands: cmds}
 	w.noteStarts(orders, now.Add(commandLifetime(h.cfg)))
-	w.busy, w.askedAfter, w.probeDue, w.probedAt = true, w.ticket, false, now
-	h.touch(w)
+	w.commandInFlight, w.ticketAtSend, w.probeDue, w.probedAt = true, w.ticket, false, now
+	h.markChanged(w)
 	addr := w.addr
 	go func() {
 		rep, executed, err := h.workers.Do(h.ctx, addr, orders)
@@ -175,57 +171,56 @@
 	}()
 }
 
-// commandLifetime is how long after it was sent a direct command that was not answered is taken to be
-// under way. The protocol gives no bound; this is one for machines that begin anew, without which
-// the machine's token and session are proof enough.
+// commandLifetime is how long after it was sent an unanswered direct command counts as in flight. The
+// protocol gives no bound. This one is for machines that restart; for all others token and session are proof
+// enough.
 func commandLifetime(c *config.Config) time.Duration { return config.Surely(c.WorkerLease()) }
 
-// noteStarts takes in that a direct command is sent, which is taken to be under way until a time unless
-// it is answered.
-func (w *worker) noteStarts(o protocol.Orders, until time.Time) {
-	w.startsSent = false
-	for _, c := range o.Commands {
+// noteStarts records the starts of a direct command that is sent; they count as in flight until the given
+// time unless the command is answered.
+func (w *worker) noteStarts(orders protocol.Orders, until time.Time) {
+	w.commandHasStarts = false
+	for _, c := range orders.Commands {
 		if c.Verb == protocol.VerbStart {
-			w.entries[c.Task].token = o.Token
+			w.entries[c.Task].startToken = orders.Token
 			w.openStarts[c.Task] = openStart{c.Attempt, until}
-			w.startsSent = true
+			w.commandHasStarts = true
 		}
 	}
 }
 
-// closeStarts takes in that the outcome of a direct command is known.
-func (w *worker) closeStarts(o protocol.Orders) {
-	for _, c := range o.Commands {
+// closeStarts notes that the outcome of a direct command is known.
+func (w *worker) closeStarts(orders protocol.Orders) {
+	for _, c := range orders.Commands {
 		if c.Verb == protocol.VerbStart && w.openStarts[c.Task].attempt == c.Attempt {
 			delete(w.openStarts, c.Task)
 		}
 	}
 }
 
-// startingBy are the tasks that an order starts, as far as nothing else is known of them.
-func (w *worker) startingBy(o protocol.Orders) (starting []*entry) {
-	for _, c := range o.Commands {
-		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.token == o.Token {
+// startingEntries returns the tasks that a direct command starts and of which nothing newer is known.
+func (w *worker) startingEntries(orders protocol.Orders) (starting []*entry) {
+	for _, c := range orders.Commands {
+		if e := w.entries[c.Task]; c.Verb == protocol.VerbStart && e != nil && e.state == board.TaskStarting && e.startToken == orders.Token {
 			starting = append(starting, e)
 		}
 	}
 	return starting
 }
 
-// noteUnanswered marks what a direct command was for that got no answer.
-func (w *worker) noteUnanswered(o protocol.Orders) {
-	for _, c := range o.Commands {
+// noteUnanswered marks the tasks of a direct command that got no answer.
+func (w *worker) noteUnanswered(orders protocol.Orders) {
+	for _, c := range orders.Commands {
 		if e := w.entries[c.Task]; e != nil && e.attempt == c.Attempt {
 			e.unanswered = true
 		}
 	}
 }
 
-// repeatUnanswered are the commands that an answer to a report carries along since no direct
-// command for them was answered: direct ones may be held up on their way for long, while an answer
-// is taken in at once or never. All of them may be repeated. A start gets the answer's token, which
-// is a new one, so that the former command can't be carried out after it and the next report
-// tells what became of it.
+// repeatUnanswered returns the commands that an answer to a report repeats because no direct command for them
+// was answered: a direct command may be delayed for long, while an answer is received at once or never. All
+// of them may be repeated. A start gets the answer's token, which is new, so that the earlier command can't
+// be carried out after it and the next report shows the outcome.
 func (h *Holder) repeatUnanswered(w *worker, now time.Time) (commands []protocol.Command) {
 	if !w.verified || !h.session.Valid() {
 		return nil
@@ -236,81 +231,81 @@
 		case !e.unanswered:
 		case e.state == board.TaskStarting:
 			starts = append(starts, e)
-		case e.exited() && e.reap:
+		case e.exited() && e.forgetRequested:
 			commands = append(commands, protocol.Command{Verb: protocol.VerbForget, Task: e.task, Attempt: e.attempt})
-		case !e.exited() && e.stop && !h.over(e.job) && (e.state != protocol.TaskFlushing || e.grace == 0):
-			commands = append(commands, stopCommand(e.task, e.attempt, e.grace))
+		case !e.exited() && e.stopRequested && !h.isJobOver(e.job) && (e.state != protocol.TaskFlushing || e.graceS == 0):
+			commands = append(commands, stopCommand(e.task, e.attempt, e.graceS))
 		}
 	}
-	if len(starts) == 0 || w.busy && w.startsSent {
+	if len(starts) == 0 || w.commandInFlight && w.commandHasStarts {
 		return commands
 	}
-	w.seq++
+	w.tokenSeq++
 	for _, e := range starts {
 		if h.mayRepeatStart(w, e, now) {
-			e.token = protocol.NewToken(w.slot.term, w.seq)
+			e.startToken = protocol.NewToken(w.slot.term, w.tokenSeq)
 			commands = append(commands, protocol.Command{Verb: protocol.VerbStart, Task: e.task, Attempt: e.attempt})
 		}
 	}
 	return commands
 }
 
-// mayRepeatStart tells whether a task whose start was not answered is still to be started: by
-// what is known now, and for as long as it might have waited for room.
+// mayRepeatStart reports whether a task whose start was not answered is still to be started: by what is known
+// now, and for as long as it might have waited for room.
 func (h *Holder) mayRepeatStart(w *worker, e *entry, now time.Time) bool {
-	return h.usable(w) && !e.stop && h.jobs[e.job] != nil && !h.over(e.job) && now.Sub(h.syncedAt) <= maxStale && now.Before(e.until)
+	return h.usable(w) && !e.stopRequested && h.jobs[e.job] != nil && !h.isJobOver(e.job) && now.Sub(h.syncedAt) <= maxRecordsAge && now.Before(e.expiresAt)
 }
 
-// silentGap is how long a machine that is silent is left alone after a command in vain.
-const silentGap = 8 * time.Second
+// unresponsiveBackoff is how long an unresponsive machine gets no command after an unanswered one.
+const unresponsiveBackoff = 8 * time.Second
 
-func (h *Holder) commandAnswered(w *worker, o protocol.Orders, rep *protocol.Report, executed bool, err error) {
-	w.busy = false
-	if h.byID[w.id] != w || h.slots[w.slot.slot] != w.slot {
+func (h *Holder) commandAnswered(w *worker, orders protocol.Orders, rep *protocol.Report, executed bool, err error) {
+	w.commandInFlight = false
+	if h.workersByID[w.id] != w || h.slots[w.slot.slot] != w.slot {
 		return
 	}
 	if err == nil || errors.Is(err, transport.ErrRefused) {
-		w.closeStarts(o)
+		w.closeStarts(orders)
 	}
 	if errors.Is(err, transport.ErrRefused) {
-		// Nothing was sent, which says nothing of the machine: what was to be started waits on.
-		for _, e := range w.startingBy(o) {
-			e.state, e.token = board.TaskQueued, 0
+		// Nothing was sent, so nothing new is known of the machine: the tasks to be started wait on.
+		for _, e := range w.startingEntries(orders) {
+			e.state, e.startToken = board.TaskQueued, 0
 		}
-		w.holdOff = time.Now().Add(time.Second)
+		w.backoffUntil = time.Now().Add(time.Second)
 		return
 	}
 	if err != nil {
-		// Unknown: the next answer's higher token fences what is in flight, and shows
-		// whether the machine hears. It is asked for one, once: that comes sooner than by reports,
-		// and until then nothing more is started there.
-		w.noteUnanswered(o)
-		w.seq++
-		w.probeDue = len(o.Commands) > 0
-		w.holdOff = time.Now().Add(time.Second)
+		// The outcome is unknown. The next answer's higher token fences the command, and shows whether the
+		// machine receives answers. The machine is probed once, which is faster than waiting for reports, and
+		// until it answers nothing more is started there.
+		w.noteUnanswered(orders)
+		w.tokenSeq++
+		w.probeDue = len(orders.Commands) > 0
+		w.backoffUntil = time.Now().Add(time.Second)
 		if w.unresponsive { // many may be, and each attempt holds a connection until it is given up
-			w.holdOff = time.Now().Add(silentGap)
+			w.backoffUntil = time.Now().Add(unresponsiveBackoff)
 		}
-		if w.ack.requireAck(protocol.NewToken(w.slot.term, w.seq), time.Now()) {
-			h.touch(w)
+		if w.ack.requireAck(protocol.NewToken(w.slot.term, w.tokenSeq), time.Now()) {
+			h.markChanged(w)
 		}
 		slog.Debug("direct command unanswered", "machine", w.id, "err", err)
 		return
 	}
 	if !executed {
-		// Refused for good: the starts in it will never happen.
-		for _, e := range w.startingBy(o) {
+		// Refused for good: its starts will never happen.
+		for _, e := range w.startingEntries(orders) {
 			delete(w.entries, e.task)
 		}
-		w.holdOff = time.Now().Add(500 * time.Millisecond)
+		w.backoffUntil = time.Now().Add(500 * time.Millisecond)
 	}
 	if rep.Machine == w.id && rep.Token.Term() <= w.slot.term {
 		w.ack = ackState{} // it answered
-		if !w.isNewer(rep) && w.session == o.Session && w.ticket == w.askedAfter {
+		if !w.isNewer(rep) && w.session == orders.Session && w.ticket == w.ticketAtSend {
 			h.noteRestart(w, rep)
 		}
-		h.hear(w, rep)
+		h.applyReport(w, rep)
 	}
-	h.touch(w)
+	h.markChanged(w)
 	h.sendCommands(w)
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -70,9 +70,9 @@
 	share := float64(len(c.Siblings) + 1)
 	state := transport.NewState(dial, c.Services.State, d.State.RPS/share, d.State.WriteRPS/share)
 	k := &Controller{cfg: c, started: time.Now(), state: state, store: bookkeeping.NewStore(state, d.State.TxnOps, c.ValueBytes())}
-	k.session = NewSession(c, k.store, func() { k.holder.ask(ctx, k.holder.reset) })
+	k.session = NewSession(c, k.store, func() { k.holder.ask(ctx, k.holder.dropAllSlots) })
 	k.holder = NewHolder(ctx, c, k.session, k.store, transport.NewWorkers(dial, c.ToWorkers()))
-	k.holder.served = k.state.Counts.Served
+	k.holder.stateLastServed = k.state.Counts.Served
 	holders := map[string]HolderCaller{c.Name: local{HolderRPC{k.holder}}}
 	lenders := map[string]LendCaller{}
 	for _, s := range c.Siblings {
@@ -84,9 +84,9 @@
 		k.holder.moratoriumPeers = append(k.holder.moratoriumPeers, peer)
 		k.holder.announcers = append(k.holder.announcers, peer)
 	}
-	k.owner = NewOwner(ctx, c, k.session, k.store, holders, k.foundOver,
-		func(job string, op placement.Opinion) { k.holder.tell(func() { k.holder.hearOpinion(job, op) }) }, lenders)
-	k.owner.misrouted = func(s board.Stray, told bool, heard time.Time) {
+	k.owner = NewOwner(ctx, c, k.session, k.store, holders, k.addFinalJob,
+		func(job string, op placement.Verdict) { k.holder.tell(func() { k.holder.setOpinion(job, op) }) }, lenders)
+	k.owner.handleStray = func(s board.Stray, told bool, heard time.Time) {
 		k.holder.tell(func() { k.holder.noteMisrouted(s, told, heard) })
 	}
 	k.leader = NewLeader(ctx, c, k.session, k.store, transport.NewCloud(dial, c.Services.Cloud, d.Cloud.RPS*0.8), k.owner, holders)
@@ -94,8 +94,8 @@
 		k.quotas.Store(&quotaSet{tree: c.Quotas})
 	}
 	k.reader = bookkeeping.NewReader(k.store)
-	k.reader.Found = k.foundOver
-	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.Seat { return Place(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgency(c, j) }, k,
+	k.reader.Found = k.addFinalJob
+	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.Seat { return Place(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgencyOf(c, j) }, k,
 		func(revision uint64) { k.reader.Caught(ctx, revision) })
 	k.replica.Block = c.WatchFor()
 	return k
@@ -103,7 +103,7 @@
 
 // Receivers are what siblings may call.
 func (k *Controller) Receivers() map[string]any {
-	return map[string]any{rpcName: HolderRPC{k.holder}, lendName: QuotaRPC{k}}
+	return map[string]any{rpcName: HolderRPC{k.holder}, quotaServiceName: QuotaRPC{k}}
 }
 
 // Serve runs the controller until ctx ends, and serves users and workers at its front
@@ -146,14 +146,14 @@
 	if !k.loaded.Load() {
 		return false
 	}
-	alone := len(k.cfg.Siblings) > 0 && !k.owner.othersHeard.Load()
+	alone := len(k.cfg.Siblings) > 0 && !k.owner.siblingHeard.Load()
 	switch now := time.Now(); {
 	case alone && now.Sub(k.state.Counts.Answered()) > silentFor:
 		return false
-	case time.UnixMilli(k.owner.othersServed.Load()).Sub(k.state.Counts.Served()) > refusedFor:
+	case time.UnixMilli(k.owner.siblingServedMs.Load()).Sub(k.state.Counts.Served()) > refusedFor:
 		return false
 	}
-	return k.session.Valid() || !k.owner.othersValid.Load()
+	return k.session.Valid() || !k.owner.siblingSessionValid.Load()
 }
 
 // Report passes a worker's report to the holder.
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -10,96 +10,94 @@
 	"daledyke/internal/protocol"
 )
 
-// The owner's side of moves: a service's replica on a machine that is being vacated is
-// started elsewhere, in room that is reserved before it is stopped. Each step follows from
-// what the board shows, so that whoever owns the job by then goes on with it:
+// The owner's side of moves: a service's replica on a machine that is being vacated is started elsewhere, in
+// room that is reserved before the replica is stopped. Each step follows from the board alone, so a new owner
+// of the job continues a move:
 //
-//	runs on a machine that is vacated           room is reserved on another
-//	the same, and room is reserved for it       it is stopped
-//	only the room is left                       it is started there
+//	replica on a vacated machine, no reservation      reserve room on another machine
+//	replica on a vacated machine, and a reservation   stop the replica
+//	a reservation only                                start the replica there
 //
-// A reservation lapses by itself after some seconds; what was stopped meanwhile is placed
-// as any other task that is missing. Nothing is written for a move: what a job wants
-// stands in its record, and where it runs nowhere but on the machines.
+// A reservation expires after some seconds; a replica stopped by then is placed like any other missing task. A
+// move writes no records: a job's record holds what it wants, and only the machines hold where it runs.
 
-// move takes the next step for replicas of a service that are to be elsewhere, one at a
-// time.
-func (o *Owner) move(js *jobState, now time.Time, rq requests) {
+// moveReplica takes the next step for a service's replicas that have to move, one at a time.
+func (o *Owner) moveReplica(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
 	if s.Shape != protocol.Service || js.job.Final() || js.missing > 0 || len(js.pending) > 0 {
 		return
 	}
-	var next *board.Instance
+	var candidate *board.Instance
 	for index, list := range o.board.Tasks[s.ID] {
 		sh := js.shareOf(index)
 		if sh == nil || !sh.settled {
 			return
 		}
-		var held, on *board.Instance
+		var reservation, current *board.Instance
 		for _, i := range list {
 			switch {
 			case i.Exited():
 			case i.State == board.TaskReserved:
-				held = i
+				reservation = i
 			default:
-				on = i
+				current = i
 			}
 		}
 		switch {
-		case held != nil && on == nil: // what is left of it elsewhere has exited
-			o.start(js, index, held.Attempt, placement.Choice{Machine: held.Machine}, false, rq)
+		case reservation != nil && current == nil: // the old replica has exited
+			o.addStart(js, index, reservation.Attempt, placement.Choice{Machine: reservation.Machine}, false, rq)
 			return
-		case held != nil && on != nil && on.Machine.Vacates:
-			o.askStop(on, 0, now, rq)
+		case reservation != nil && current != nil && current.Machine.Vacates:
+			o.requestStop(current, 0, now, rq)
 			return
-		case held != nil || on == nil || !on.Running():
-			return // something is under way already
-		case on.Machine.Vacates && now.Sub(on.Ran) >= balance.SettledAfter:
-			next = on
+		case reservation != nil || current == nil || !current.Running():
+			return // a step is in progress already
+		case current.Machine.Vacates && now.Sub(current.RunningSince) >= balance.SettledAfter:
+			candidate = current
 		}
 	}
-	if next == nil || now.Before(js.moveAt) || o.account(js) != "" || !o.teamRoom(js, 1) {
+	if candidate == nil || now.Before(js.nextMoveAt) || o.account(js) != "" || !o.teamLimitAllows(js, 1) {
 		return
 	}
-	js.moveAt = now.Add(2 * time.Second)
-	if c, ok := o.placeElsewhere(js, next); ok {
-		o.moves++
-		slog.Info("moving", "task", next.Task, "from", next.Machine.ID, "to", c.Machine.ID)
-		o.start(js, next.Index, o.newAttempt(), c, true, rq)
+	js.nextMoveAt = now.Add(2 * time.Second)
+	if c, ok := o.findMoveTarget(js, candidate); ok {
+		o.startedMoves++
+		slog.Info("moving", "task", candidate.Task, "from", candidate.Machine.ID, "to", c.Machine.ID)
+		o.addStart(js, candidate.Index, o.newAttempt(), c, true, rq)
 	}
 }
 
-// placeElsewhere finds a machine to which a replica had better move from where it is.
-func (o *Owner) placeElsewhere(js *jobState, from *board.Instance) (placement.Choice, bool) {
+// findMoveTarget finds a better machine for a replica than the one where it runs.
+func (o *Owner) findMoveTarget(js *jobState, from *board.Instance) (placement.Choice, bool) {
 	p := o.placingFor(js, "")
-	p.Zones[from.Machine.Zone]-- // it is gone from there before it starts
-	if p.Zones[from.Machine.Zone] == 0 {
-		delete(p.Zones, from.Machine.Zone)
+	p.TasksByZone[from.Machine.Zone]-- // the replica stops there before it starts elsewhere
+	if p.TasksByZone[from.Machine.Zone] == 0 {
+		delete(p.TasksByZone, from.Machine.Zone)
 	}
-	p.Sample = len(o.board.Machines) // it is rare enough to look at all
-	// Away from where it costs far more than elsewhere it may go to a machine that nothing
-	// else keeps, and fetch its image there.
-	misplaced := p.Dear[from.Machine.Type]
-	most := time.Duration(0)
+	p.SampleSize = len(o.board.Machines) // moves are rare enough to examine all machines
+	// From a type of machine where it costs far more than on others, a replica may also move to a machine that
+	// runs no service, and fetch its image there.
+	misplaced := p.Expensive[from.Machine.Type]
+	maxFetch := time.Duration(0)
 	if misplaced {
-		most = mostFetch
+		maxFetch = maxMoveFetch
 	}
-	var to []*board.Machine
-	for _, m := range o.machinesNow() {
-		if misplaced && !p.Dear[m.Type] || o.keptByServices(m) {
-			to = append(to, m)
+	var targets []*board.Machine
+	for _, m := range o.usableMachines() {
+		if misplaced && !p.Expensive[m.Type] || o.runsService(m) {
+			targets = append(targets, m)
 		}
 	}
-	p.Gather(to)
+	p.FindCandidates(targets)
 	c, ok := p.BestFit()
-	return c, ok && p.Fetch(c.Machine) <= most
+	return c, ok && p.FetchTime(c.Machine) <= maxFetch
 }
 
-// mostFetch is the longest fetch that a replica is moved for.
-const mostFetch = 10 * time.Second
+// maxMoveFetch is the longest image fetch accepted for a move.
+const maxMoveFetch = 10 * time.Second
 
-// keptByServices tells whether a machine stays for the services on it.
-func (o *Owner) keptByServices(m *board.Machine) bool {
+// runsService tells whether a machine runs a service, which keeps it in the fleet.
+func (o *Owner) runsService(m *board.Machine) bool {
 	for _, i := range m.Instances {
 		if js := o.jobs[i.Job]; js != nil && !i.Exited() && js.job.Spec.Shape == protocol.Service {
 			return true
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -11,96 +11,93 @@
 	"daledyke/internal/protocol"
 )
 
-// The owner's side of placing: what may be used, by whom, and what may be stopped for it.
+// The owner's side of placement: which machines and limits apply, and what may be preempted.
 
-// machinesNow are the machines on which tasks may be started, as this round
-// sees them.
-func (o *Owner) machinesNow() []*board.Machine {
-	if o.usable != nil {
-		return o.usable
+// usableMachines are the machines on which tasks may be started, computed once a round.
+func (o *Owner) usableMachines() []*board.Machine {
+	if o.usableCache != nil {
+		return o.usableCache
 	}
-	heard := map[string]bool{}
+	recentlyHeard := map[string]bool{}
 	for name, p := range o.peers {
-		heard[name] = p.valid && time.Since(p.heard) < 6*time.Second
+		recentlyHeard[name] = p.sessionValid && time.Since(p.heardAt) < 6*time.Second
 	}
-	o.usable = make([]*board.Machine, 0, len(o.board.Machines))
+	o.usableCache = make([]*board.Machine, 0, len(o.board.Machines))
 	for _, m := range o.board.Machines {
-		if m.Current && m.Usable && heard[m.Holder] {
-			o.usable = append(o.usable, m)
+		if m.Current && m.Usable && recentlyHeard[m.Holder] {
+			o.usableCache = append(o.usableCache, m)
 		}
 	}
-	return o.usable
+	return o.usableCache
 }
 
-// placingFor prepares to place tasks of a job on machines of a zone, or of any
-// if it is empty.
-func (o *Owner) placingFor(js *jobState, zone string) *placement.Placing {
+// placingFor prepares the placement of a job's tasks on machines of a zone, or of any zone if it is empty.
+func (o *Owner) placingFor(js *jobState, zone string) *placement.Placer {
 	s := js.job.Spec
-	p := &placement.Placing{Spec: s, Zone: zone, Avoid: js.badOn, Types: o.types, Scarce: o.scarceNow, Sample: o.cfg.Sample, Rand: o.rng}
-	if s.Shape == protocol.Service && placement.RunsOnOthers(s, o.types, o.scarceNow) {
-		// Other machines can be had in about the time that they take to boot.
-		ready, _ := fleet.Ready(o.types, s, s.ImageGB)
-		p.Keep = time.Since(js.job.Ready) < o.within(s.Class, 0)+ready
-	}
-	if p.Dear = placement.Dear(s, o.types); p.Dear != nil {
-		// What is late anyway waits for a machine that costs less, as long as there are some.
-		ready, _ := fleet.Ready(o.types, s, s.ImageGB)
-		aim, waited := o.within(s.Class, 0), time.Since(js.job.Ready)
-		p.Shun = waited > aim && waited < aim+2*ready && o.toBeHad(s, p.Dear)
+	p := &placement.Placer{Spec: s, Zone: zone, Avoid: js.failedOn, Types: o.machineTypes, Scarce: o.scarceTypes, SampleSize: o.cfg.Sample, Rand: o.rng}
+	if s.Shape == protocol.Service && placement.HasNonScarceType(s, o.machineTypes, o.scarceTypes) {
+		// Other machines become available in about their boot time.
+		ready, _ := fleet.FastestReady(o.machineTypes, s, s.ImageGB)
+		p.AvoidScarce = time.Since(js.job.Ready) < o.startObjective(s.Class, 0)+ready
+	}
+	if p.Expensive = placement.ExpensiveTypes(s, o.machineTypes); p.Expensive != nil {
+		// A task that is late already waits for a machine that costs less, as long as the cloud may have some.
+		ready, _ := fleet.FastestReady(o.machineTypes, s, s.ImageGB)
+		aim, waited := o.startObjective(s.Class, 0), time.Since(js.job.Ready)
+		p.AvoidExpensive = waited > aim && waited < aim+2*ready && o.obtainable(s, p.Expensive)
 	}
 	if js.opinion == placement.AtFault {
 		p.Avoid = nil // no machine is to blame
 	}
-	p.Zones = map[string]int{}
+	p.TasksByZone = map[string]int{}
 	if s.OneZone || s.Scatter {
 		for _, list := range o.board.Tasks[s.ID] {
 			for _, i := range list {
 				if !i.Exited() {
-					p.Zones[i.Machine.Zone]++
+					p.TasksByZone[i.Machine.Zone]++
 				}
 			}
 		}
 		for _, ps := range js.pending {
 			if m := o.board.Machines[ps.machine]; m != nil {
-				p.Zones[m.Zone]++
+				p.TasksByZone[m.Zone]++
 			}
 		}
 	}
-	p.Gather(o.machinesNow())
+	p.FindCandidates(o.usableMachines())
 	return p
 }
 
-// scarce are the types that some class seen lately cannot do without.
-func (o *Owner) scarce() map[string]bool {
-	return placement.Scarce(func(yield func(*protocol.JobSpec) bool) {
+// findScarceTypes are the machine types that some recently seen class cannot do without.
+func (o *Owner) findScarceTypes() map[string]bool {
+	return placement.ScarceTypes(func(yield func(*protocol.JobSpec) bool) {
 		for _, c := range o.classes {
 			if !yield(c.Spec) {
 				return
 			}
 		}
-	}, o.types)
+	}, o.machineTypes)
 }
 
-// teams is what the teams' work takes, worked out once a round: for each task that was
-// placed anew, the owner of a large team went through all tasks of all teams, which was
-// half of its work at 1,500 machines.
-type teams struct {
-	// use is that of tasks on the board, pending that of starts that are under way.
-	use, pending map[string]protocol.Room
-	// strange: the board shows tasks of jobs that are not known, of whatever team.
-	strange bool
+// teamUsage is the room that the teams' work takes, computed once a round: computing it for each placed task
+// took half of a large team's owner's time at 1,500 machines.
+type teamUsage struct {
+	// placed is the room of tasks on the board, pending that of starts in progress.
+	placed, pending map[string]protocol.Room
+	// hasUnknownJobs: the board shows tasks of unknown jobs, which may be of any team.
+	hasUnknownJobs bool
 }
 
-// teamsNow is what the teams' work takes, as this round sees it.
-func (o *Owner) teamsNow() *teams {
-	if o.teams != nil {
-		return o.teams
+// currentTeamUsage is the room that the teams' work takes, computed once a round.
+func (o *Owner) currentTeamUsage() *teamUsage {
+	if o.teamUsageCache != nil {
+		return o.teamUsageCache
 	}
-	t := &teams{use: map[string]protocol.Room{}, pending: map[string]protocol.Room{}}
+	t := &teamUsage{placed: map[string]protocol.Room{}, pending: map[string]protocol.Room{}}
 	for job, tasks := range o.board.Tasks {
 		js := o.jobs[job]
 		if js == nil {
-			t.strange = true
+			t.hasUnknownJobs = true
 			continue
 		}
 		s := js.job.Spec
@@ -112,7 +109,7 @@
 				}
 			}
 		}
-		t.use[s.Team] = t.use[s.Team].Add(s.Need().Scale(n))
+		t.placed[s.Team] = t.placed[s.Team].Add(s.Need().Scale(n))
 	}
 	for _, js := range o.active {
 		if n := len(js.pending); n > 0 {
@@ -120,79 +117,78 @@
 			t.pending[s.Team] = t.pending[s.Team].Add(s.Need().Scale(float64(n)))
 		}
 	}
-	o.teams = t
+	o.teamUsageCache = t
 	return t
 }
 
-// claim is a job as it is weighed against others, where teams use so much.
-func (o *Owner) claim(j *bookkeeping.Job, use map[string]protocol.Room) placement.Claim {
+// claim is a job as preemption compares it with others, given the teams' usage.
+func (o *Owner) claim(j *bookkeeping.Job, usage map[string]protocol.Room) placement.Claim {
 	s := j.Spec
 	c := placement.Claim{Spec: s, Rank: j.Rank, Filler: j.Filler}
 	if t := o.cfg.Team(s.Team); t != nil {
-		c.Guaranteed, c.Beyond = t.Guarantees(s.Need(), use[s.Team].Add(s.Need())), t.Beyond(s.Need(), use[s.Team])
+		c.WithinGuarantee, c.OverGuarantee = t.Guarantees(s.Need(), usage[s.Team].Add(s.Need())), t.Beyond(s.Need(), usage[s.Team])
 	}
 	return c
 }
 
-// price is what stopping a task for one of the given claim costs.
-func (o *Owner) price(by placement.Claim, use map[string]protocol.Room, now time.Time) func(*board.Instance) (placement.Victim, bool) {
+// price returns a function that prices the preemption of a task for the claimant.
+func (o *Owner) price(claimant placement.Claim, usage map[string]protocol.Room, now time.Time) func(*board.Instance) (placement.Victim, bool) {
 	return func(i *board.Instance) (placement.Victim, bool) {
 		js := o.jobs[i.Job]
 		if js == nil {
 			return placement.Victim{}, false
 		}
-		return placement.Price(i, o.claim(js.job, use), by, now)
+		return placement.EvictionCost(i, o.claim(js.job, usage), claimant, now)
 	}
 }
 
-// teamRoom tells whether the team's limit leaves room for more. The team's
-// jobs all have one owner, whose board and open requests show all that may be
-// running.
-func (o *Owner) teamRoom(js *jobState, more int) bool {
+// teamLimitAllows tells whether the team's limit leaves room for more tasks of the job. All jobs of a limited
+// team have one owner, whose board and pending starts show all that may be running.
+func (o *Owner) teamLimitAllows(js *jobState, more int) bool {
 	t := o.cfg.Team(js.job.Spec.Team)
 	if t == nil || !t.Limits(js.job.Spec.Need()) {
 		return t != nil
 	}
-	if o.bornBy(js.gain) == 0 {
-		return false // not everything that runs is known yet
+	if o.bornBy(js.gainWindow) == 0 {
+		return false // some running tasks may not be known yet
 	}
-	if o.barred(js, t.Name) {
+	if o.blockedByTurn(js, t.Name) {
 		return false
 	}
-	now := o.teamsNow()
-	if now.strange {
-		return false // it may be one of the team's
+	usage := o.currentTeamUsage()
+	if usage.hasUnknownJobs {
+		return false // the unknown job may be the team's
 	}
-	use := now.use[t.Name].Add(now.pending[t.Name]).Add(js.job.Spec.Need().Scale(float64(more)))
-	return t.Admits(use)
+	total := usage.placed[t.Name].Add(usage.pending[t.Name]).Add(js.job.Spec.Need().Scale(float64(more)))
+	return t.Admits(total)
 }
 
-// barred tells whether a job has to wait since a larger one of its team has its turn, as long as
-// that one waits.
-func (o *Owner) barred(js *jobState, team string) bool {
+// blockedByTurn tells whether a job has to wait because it is the turn of a larger job of its team, which
+// still waits.
+func (o *Owner) blockedByTurn(js *jobState, team string) bool {
 	t := o.turns[team]
-	if t == nil || !t.Bars(js.job.Spec.ID, js.job.Rank, time.Now()) {
+	if t == nil || !t.Blocks(js.job.Spec.ID, js.job.Rank, time.Now()) {
 		return false
 	}
 	other := o.active[t.Job]
 	return other != nil && other.missing > 0 && len(other.shares) > 0
 }
 
-// placeJob starts what is missing of a job, as far as there is room. It gives
-// back how many tasks it looked for a machine for.
+// placeJob starts the missing tasks of a job as far as there is room. It returns for how many it searched a
+// machine.
 func (o *Owner) placeJob(js *jobState, now time.Time, rq requests) int {
 	if js.job.Spec.Shape == protocol.Gang {
 		return o.placeGang(js, now, rq)
 	}
 	s := js.job.Spec
 	tasks := o.board.Tasks[s.ID]
-	looked := 0
-	var p *placement.Placing
-	hold := -1      // how many had better wait for room where the image is, -1 if not known yet
-	var lacks []int // tasks that need a permit
-	defer func() { o.want(js, lacks, 0, false, now) }()
-	for index := range js.tasksLeft {
-		if looked >= 32 {
+	searched := 0
+	var p *placement.Placer
+	delayed := -1            // how many tasks should wait for room where the image is, -1 if not computed yet
+	var missingPermits []int // tasks that need a permit
+	defer func() { o.wantPermits(js, missingPermits, 0, false, now) }()
+	for index := range js.remainingTasks {
+		if searched >= 32 {
 			break
 		}
 		if js.job.TaskDone(index) || len(tasks[index]) > 0 || js.pending[index] != nil {
@@ -204,43 +200,42 @@
 			}
 			delete(js.retryAt, index)
 		}
-		looked++
-		permit, ok := o.permitted(js, index, &lacks)
+		searched++
+		permit, ok := o.heldPermit(js, index, &missingPermits)
 		if !ok {
 			continue
 		}
 		if p == nil {
 			p = o.placingFor(js, "")
 		}
-		if !o.teamRoom(js, 1) {
-			js.blocked = now.Add(500 * time.Millisecond)
-			return looked
+		if !o.teamLimitAllows(js, 1) {
+			js.blockedUntil = now.Add(500 * time.Millisecond)
+			return searched
 		}
-		c, ok := o.find(js, p, now)
+		c, ok := o.findMachine(js, p, now)
 		if !ok {
 			o.noteUnmetNeed(js, now)
-			return looked
+			return searched
 		}
-		if hold < 0 {
-			hold = o.hold(js, p, &c, js.missing, now)
+		if delayed < 0 {
+			delayed = o.countWaitingForImage(js, p, &c, js.missing, now)
 		}
-		if js.missing-(looked-1) <= hold && len(c.Evict) == 0 && p.Fetch(c.Machine) > 0 {
-			js.blocked = now.Add(holdFor)
-			return looked
+		if js.missing-(searched-1) <= delayed && len(c.Evict) == 0 && p.FetchTime(c.Machine) > 0 {
+			js.blockedUntil = now.Add(imageWaitInterval)
+			return searched
 		}
-		o.start(js, index, o.attempt(permit), c, false, rq)
-		p.Zones[c.Machine.Zone]++
+		o.addStart(js, index, o.attemptNumber(permit), c, false, rq)
+		p.TasksByZone[c.Machine.Zone]++
 		if js.opinion == placement.AtFault {
-			js.tried(now)
+			js.scheduleNextTrial(now)
 			break
 		}
 	}
-	return looked
+	return searched
 }
 
-// tasksLeft goes through the tasks of a job's settled blocks in which some are neither done
-// nor begun.
-func (js *jobState) tasksLeft(yield func(int) bool) {
+// remainingTasks yields the tasks of settled blocks in which some are neither done nor started.
+func (js *jobState) remainingTasks(yield func(int) bool) {
 	for _, sh := range js.shares {
 		if !sh.settled || sh.left <= 0 {
 			continue
@@ -256,60 +251,61 @@
 	}
 }
 
-// find finds a machine with room, or one where room may be made.
-func (o *Owner) find(js *jobState, p *placement.Placing, now time.Time) (placement.Choice, bool) {
+// findMachine finds a machine with room, or one where preemption makes room.
+func (o *Owner) findMachine(js *jobState, p *placement.Placer, now time.Time) (placement.Choice, bool) {
 	c, ok := p.BestFit()
-	if ok && p.Fetch(c.Machine) <= o.within(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
+	if ok && p.FetchTime(c.Machine) <= o.startObjective(js.job.Spec.Class, time.Minute)-now.Sub(js.job.Ready) {
 		return c, true
 	}
-	if e, found := o.makeRoom(js, p, c.Machine, now); found {
-		return e, true
+	if choice, found := o.findPreemption(js, p, c.Machine, now); found {
+		return choice, true
 	}
 	return c, ok
 }
 
-// holdFor is for how long tasks that wait for room where their image is are left alone.
-const holdFor = 300 * time.Millisecond
+// imageWaitInterval is how long tasks that wait for room where their image is are not considered.
+const imageWaitInterval = 300 * time.Millisecond
 
-// hold is how many of a job's missing tasks had better wait for room where their image is
-// than be started as chosen.
-func (o *Owner) hold(js *jobState, p *placement.Placing, c *placement.Choice, missing int, now time.Time) int {
-	fetch := p.Fetch(c.Machine)
+// countWaitingForImage is how many of a job's missing tasks should wait for room on a machine that has their
+// image rather than start on the candidate c.
+func (o *Owner) countWaitingForImage(js *jobState, p *placement.Placer, c *placement.Choice, missing int, now time.Time) int {
+	fetch := p.FetchTime(c.Machine)
 	s := js.job.Spec
 	if fetch == 0 || len(c.Evict) > 0 || o.cfg.Patience == 0 || s.Shape == protocol.Service {
-		return 0 // a service is missed as long as it is not there
+		return 0 // a service is unavailable until it starts
 	}
-	rate := p.Ends(o.machinesNow(), o.wantedImages(now), o.endOf)
-	n := placement.Hold(o.cfg.Patience, rate, o.held[s.Image], fetch, now.Sub(js.job.Ready), o.within(s.Class, time.Minute))
-	o.held[s.Image] += min(n, missing)
+	rate := p.ReleaseRate(o.usableMachines(), o.wantedImages(now), o.expectedEnd)
+	n := placement.TasksToDelay(o.cfg.Patience, rate, o.waitingForImage[s.Image], fetch, now.Sub(js.job.Ready), o.startObjective(s.Class, time.Minute))
+	o.waitingForImage[s.Image] += min(n, missing)
 	return n
 }
 
-// endOf is what is known of when a task ends; services and what is not known never do.
-func (o *Owner) endOf(i *board.Instance) placement.Ending {
+// expectedEnd is what is known of a task's end: its room and mean run time. Services and tasks of unknown jobs
+// count as never ending.
+func (o *Owner) expectedEnd(i *board.Instance) placement.RunEstimate {
 	js := o.jobs[i.Job]
 	if js == nil || js.job.Spec.Shape == protocol.Service {
-		return placement.Ending{}
+		return placement.RunEstimate{}
 	}
-	return placement.Ending{Need: js.job.Spec.Need(), Mean: o.runs.Mean(js.job.Spec.Class, js.job.Spec.Estimate())}
+	return placement.RunEstimate{Need: js.job.Spec.Need(), Mean: o.runTimes.Mean(js.job.Spec.Class, js.job.Spec.Estimate())}
 }
 
-// wantedImages are the images of jobs, whoever's, of which tasks are not begun. It is worked
-// out once a second.
+// wantedImages are the images of all active jobs, of any owner, with tasks that have not been started. It is
+// computed once a second.
 func (o *Owner) wantedImages(now time.Time) map[string]bool {
-	if o.wanted == nil || now.Sub(o.wantedAt) >= time.Second {
-		o.wanted, o.wantedAt = map[string]bool{}, now
+	if o.wantedImageSet == nil || now.Sub(o.wantedImagesAt) >= time.Second {
+		o.wantedImageSet, o.wantedImagesAt = map[string]bool{}, now
 		for id, js := range o.active {
-			if s := js.job.Spec; js.job.Waits == 0 && !o.wanted[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
-				o.wanted[s.Image] = true
+			if s := js.job.Spec; js.job.Waits == 0 && !o.wantedImageSet[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
+				o.wantedImageSet[s.Image] = true
 			}
 		}
 	}
-	return o.wanted
+	return o.wantedImageSet
 }
 
-// onlyFiller tells whether all that has to go for a choice is filler work.
-func (o *Owner) onlyFiller(c *placement.Choice) bool {
+// evictsOnlyFiller tells whether a choice evicts nothing but filler work.
+func (o *Owner) evictsOnlyFiller(c *placement.Choice) bool {
 	for _, task := range c.Evict {
 		job, _, _ := protocol.SplitTask(task)
 		if js := o.jobs[job]; js == nil || !js.job.Filler {
@@ -319,50 +315,50 @@
 	return true
 }
 
-// makeRoom finds a machine where stopping other work makes room for a task, if
-// that is better than what there is without (nil: nothing).
-func (o *Owner) makeRoom(js *jobState, p *placement.Placing, free *board.Machine, now time.Time) (placement.Choice, bool) {
+// findPreemption finds a machine where preemption makes room for a task, if that costs less than free, the
+// best machine with room (nil: none).
+func (o *Owner) findPreemption(js *jobState, p *placement.Placer, free *board.Machine, now time.Time) (placement.Choice, bool) {
 	s := js.job.Spec
 	if js.opinion == placement.AtFault {
-		return placement.Choice{}, false // nothing makes way for what will fail
+		return placement.Choice{}, false // nothing is preempted for a job that is expected to fail
 	}
-	var use map[string]protocol.Room
+	var usage map[string]protocol.Room
 	if t := o.cfg.Team(s.Team); t != nil && t.Guaranteed() {
-		use = o.teamsNow().use
+		usage = o.currentTeamUsage().placed
 	}
-	by := o.claim(js.job, use)
-	if by.Rank < placement.Preempts && !by.Guaranteed || now.Sub(js.known) < 500*time.Millisecond {
+	claimant := o.claim(js.job, usage)
+	if claimant.Rank < placement.MinPreemptingRank && !claimant.WithinGuarantee || now.Sub(js.firstSeen) < 500*time.Millisecond {
 		return placement.Choice{}, false
 	}
-	other := math.Inf(1)
+	otherCost := math.Inf(1)
 	if free != nil {
-		other = p.Cost(free)
+		otherCost = p.Cost(free)
 	}
-	e, found := p.Preempt(o.machinesNow(), other, o.price(by, use, now))
-	// Stopping other work is the last resort: as long as the aim leaves time,
-	// room may come free by itself.
-	within := o.within(s.Class, time.Minute)
-	if found && free == nil && within-now.Sub(js.job.Ready)-p.Fetch(e.Machine)-10*time.Second >= within/5 {
-		found = o.onlyFiller(&e)
+	choice, found := p.Preempt(o.usableMachines(), otherCost, o.price(claimant, usage, now))
+	// Preemption is the last resort: while the start objective leaves time, room may come free by itself.
+	within := o.startObjective(s.Class, time.Minute)
+	if found && free == nil && within-now.Sub(js.job.Ready)-p.FetchTime(choice.Machine)-10*time.Second >= within/5 {
+		found = o.evictsOnlyFiller(&choice)
 	}
-	return e, found
+	return choice, found
 }
 
-// within is how soon the users want tasks of a class to start, if they say.
-func (o *Owner) within(class string, otherwise time.Duration) time.Duration {
-	return o.aim(class, "wait", otherwise)
+// startObjective is how soon tasks of a class should start by the users' objectives, fallback if there is
+// none.
+func (o *Owner) startObjective(class string, fallback time.Duration) time.Duration {
+	return o.objective(class, "wait", fallback)
 }
 
-// aim is the shortest time of the users' aims of a kind for a class.
-func (o *Owner) aim(class, kind string, otherwise time.Duration) time.Duration {
-	within := time.Duration(math.MaxInt64)
+// objective is the shortest time of the objectives of a kind for a class, fallback if there is none.
+func (o *Owner) objective(class, kind string, fallback time.Duration) time.Duration {
+	shortest := time.Duration(math.MaxInt64)
 	for _, a := range o.cfg.Deployment.Objectives {
 		if a.Class == class && a.Kind == kind && a.WithinS > 0 {
-			within = min(within, protocol.Seconds(a.WithinS))
+			shortest = min(shortest, protocol.Seconds(a.WithinS))
 		}
 	}
-	if within == math.MaxInt64 {
-		return otherwise
+	if shortest == math.MaxInt64 {
+		return fallback
 	}
-	return within
+	return shortest
 }
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -13,13 +13,12 @@
 	"daledyke/internal/transport"
 )
 
-// What is there of a job: results, exits, tasks that must stop.
+// Reconciling a job with the board: results, exits, tasks that must stop.
 
-// lookUp asks for jobs of which machines have tasks and the replica knows
-// nothing: a controller that starts does not read those that are over, yet
-// what is left of them takes room, and must be stopped and forgotten.
-func (o *Owner) lookUp() {
-	if o.looking || len(o.board.Tasks) == 0 {
+// lookUpUnknownJobs reads jobs that have tasks on machines and are missing from the replica. A starting
+// controller does not read final jobs, yet their remaining tasks take room and must be stopped and forgotten.
+func (o *Owner) lookUpUnknownJobs() {
+	if o.lookingUp || len(o.board.Tasks) == 0 {
 		return
 	}
 	var unknown []string
@@ -31,41 +30,39 @@
 	if len(unknown) == 0 {
 		return
 	}
-	o.looking = true
+	o.lookingUp = true
 	go func() {
 		for _, id := range unknown {
 			j, err := o.store.ReadJob(o.ctx, id)
 			if err != nil {
 				break
 			}
-			if j != nil && j.Final() { // others come through the replica
-				o.found(j)
+			if j != nil && j.Final() { // active jobs come through the replica
+				o.addFinalJob(j)
 			}
 		}
 		pause(o.ctx, time.Second)
-		o.tell(func() { o.looking = false })
+		o.tell(func() { o.lookingUp = false })
 	}()
 }
 
-// archiveEvery is how often records of jobs that are over are moved, and
-// archiveMost how many at a time.
+// archiveInterval is how often records of final jobs are archived, archiveBatchSize how many at a time.
 const (
-	archiveEvery = time.Second
-	archiveMost  = 32
+	archiveInterval  = time.Second
+	archiveBatchSize = 32
 )
 
-// archive has the records of this range's jobs that are over moved to where
-// they are not read at a start. It takes what the state service's budget has
-// to spare.
-func (o *Owner) archive() {
-	if o.archiving || len(o.ended) == 0 || !o.session.Valid() {
+// archiveJobs moves the records of this range's final jobs to where a starting controller does not read them.
+// It uses what is left of the state service's request budget.
+func (o *Owner) archiveJobs() {
+	if o.archiving || len(o.unarchived) == 0 || !o.session.Valid() {
 		return
 	}
 	var jobs []*bookkeeping.Job
-	for _, j := range o.ended {
-		// What unfinished jobs need stays where a controller that starts reads it.
+	for _, j := range o.unarchived {
+		// A job that unfinished jobs need stays where a starting controller reads it.
 		if o.window().OwnerOfBlock(j, 0) == o.cfg.Name && !j.Needed {
-			if jobs = append(jobs, j); len(jobs) == archiveMost {
+			if jobs = append(jobs, j); len(jobs) == archiveBatchSize {
 				break
 			}
 		}
@@ -76,53 +73,52 @@
 	o.archiving = true
 	go func() {
 		o.store.Archive(o.ctx, jobs)
-		pause(o.ctx, archiveEvery)
+		pause(o.ctx, archiveInterval)
 		o.tell(func() { o.archiving = false })
 	}()
 }
 
-// resultsEvery is how often results of a job are written that don't finish it:
-// only the last ones are waited for.
-const resultsEvery = time.Second
+// partialResultsInterval is how often results that do not finish a job are written: users and other jobs wait
+// only for the last results.
+const partialResultsInterval = time.Second
 
-// record writes results; a worker may forget one only afterwards. What ends a
-// job is waited for, by its users and by the jobs that need it: it does not
-// stand in line behind results that end nothing. Of those, jobs with most to
-// tell come first.
-func (o *Owner) record(outcomes []bookkeeping.Outcome) {
-	var ends, results []bookkeeping.Outcome
+// recordOutcomes writes results; a worker may forget a result only afterwards. Results that end jobs are
+// awaited by users and by dependent jobs, so they are not queued behind others. Among the others, jobs with
+// the most results come first.
+func (o *Owner) recordOutcomes(outcomes []bookkeeping.Outcome) {
+	var finishing, partial []bookkeeping.Outcome
 	for _, out := range outcomes {
 		if out.Finishes() {
-			ends = append(ends, out)
+			finishing = append(finishing, out)
 		} else {
-			results = append(results, out)
+			partial = append(partial, out)
 		}
 	}
-	slices.SortFunc(results, func(a, b bookkeeping.Outcome) int { return cmp.Compare(len(b.Tasks), len(a.Tasks)) })
-	o.write(&o.ending, transport.Urgent, ends)
-	o.write(&o.recording, transport.Ordinary, results)
+	slices.SortFunc(partial, func(a, b bookkeeping.Outcome) int { return cmp.Compare(len(b.Tasks), len(a.Tasks)) })
+	o.writeOutcomes(&o.writingFinal, transport.Urgent, finishing)
+	o.writeOutcomes(&o.writingPartial, transport.Ordinary, partial)
 }
 
-// write writes outcomes, one round at a time for those of a kind, as busy says.
-func (o *Owner) write(busy *bool, u transport.Urgency, outcomes []bookkeeping.Outcome) {
+// writeOutcomes writes outcomes of one kind, at most one batch at a time: busy is set while a batch is being
+// written.
+func (o *Owner) writeOutcomes(busy *bool, u transport.Urgency, outcomes []bookkeeping.Outcome) {
 	if len(outcomes) == 0 || *busy {
 		return
 	}
 	outcomes = outcomes[:min(len(outcomes), o.store.MostOutcomes())]
 	for _, out := range outcomes {
-		o.active[out.Job.Spec.ID].recorded = time.Now()
+		o.active[out.Job.Spec.ID].recordedAt = time.Now()
 	}
 	*busy = true
 	go func() {
 		o.store.Record(o.ctx, u, outcomes)
-		// What was written comes back through the replica.
+		// The written records come back through the replica.
 		pause(o.ctx, 100*time.Millisecond)
 		o.tell(func() { *busy, o.dirty = false, true })
 	}()
 }
 
-// reconcile looks at what is there of a job: results to record, exited attempts
-// to forget, tasks that must stop.
+// reconcile compares a job with the board: results to record, exited attempts to forget, tasks that must stop.
 func (o *Owner) reconcile(js *jobState, now time.Time, rq requests) (out bookkeeping.Outcome) {
 	j := js.job
 	out.Job = j
@@ -139,29 +135,29 @@
 		if begun := j.Spec.Shape != protocol.Gang || list[0].Begun(); sh != nil && begun && !j.TaskDone(index) && js.pending[index] == nil {
 			sh.left--
 		}
-		var keep *board.Instance
+		var oldest *board.Instance
 		for _, i := range list {
 			if i.Exited() {
 				if i.Cause == protocol.CauseDone {
-					// The holder has it forgotten once the result is recorded.
-					if js.gain != 0 && !j.TaskDone(index) {
+					// The holder has the attempt forgotten once the result is recorded.
+					if js.gainWindow != 0 && !j.TaskDone(index) {
 						out.Tasks = append(out.Tasks, index)
-						o.learn(js, i, now)
+						o.noteRunTime(js, i, now)
 					}
 				} else if sh != nil {
 					o.handleExit(js, index, i, now, rq)
 				}
 				continue
 			}
-			if i.State != board.TaskReserved && (keep == nil || i.Since.Before(keep.Since)) {
-				keep = i
+			if i.State != board.TaskReserved && (oldest == nil || i.FirstSeen.Before(oldest.FirstSeen)) {
+				oldest = i
 			}
 		}
 		for _, i := range list {
-			// Two of one task cannot be by our doing; should it happen, the
-			// younger one goes.
-			if sh != nil && !i.Exited() && i.State != board.TaskReserved && (i != keep && len(list) > 1 || j.TaskDone(index)) {
-				o.askStop(i, 0, now, rq)
+			// The protocol never starts a task twice; if two instances exist nevertheless, the younger one is
+			// stopped.
+			if sh != nil && !i.Exited() && i.State != board.TaskReserved && (i != oldest && len(list) > 1 || j.TaskDone(index)) {
+				o.requestStop(i, 0, now, rq)
 			}
 		}
 	}
@@ -171,28 +167,28 @@
 			js.missing += sh.left
 		}
 	}
-	o.rescue(js, now, rq)
-	o.move(js, now, rq)
+	o.saveOnLeavingMachines(js, now, rq)
+	o.moveReplica(js, now, rq)
 	if j.Spec.Shape == protocol.Gang && len(out.Tasks) > 0 {
 		out.Tasks = out.Tasks[:0]
 		for t := range j.Spec.Tasks {
-			out.Tasks = append(out.Tasks, t) // a gang completes together
+			out.Tasks = append(out.Tasks, t) // a gang completes as a whole
 		}
 	}
 	return out
 }
 
-// learn notes how long a task ran, once.
-func (o *Owner) learn(js *jobState, i *board.Instance, now time.Time) {
-	if !i.Ran.IsZero() {
-		o.runs.Note(js.job.Spec.Class, now.Sub(i.Ran))
-		i.Ran = time.Time{}
+// noteRunTime records how long a task ran, once.
+func (o *Owner) noteRunTime(js *jobState, i *board.Instance, now time.Time) {
+	if !i.RunningSince.IsZero() {
+		o.runTimes.Record(js.job.Spec.Class, now.Sub(i.RunningSince))
+		i.RunningSince = time.Time{}
 	}
 }
 
-// rescue has tasks save what they can on machines that are being taken away;
-// the tasks of a gang must all be told.
-func (o *Owner) rescue(js *jobState, now time.Time, rq requests) {
+// saveOnLeavingMachines has tasks save their progress on machines that are being taken away; a gang's tasks
+// must all be told.
+func (o *Owner) saveOnLeavingMachines(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
 	if !s.Saves() {
 		return
@@ -209,23 +205,23 @@
 				o.stopGang(js, 2*s.SaveS, now, rq)
 				return
 			}
-			o.askStop(i, 2*s.SaveS, now, rq)
+			o.requestStop(i, 2*s.SaveS, now, rq)
 		}
 	}
 }
 
-// handleExit has an attempt forgotten that ended otherwise than done, and says when to try again.
+// handleExit has the holder forget an attempt that ended unsuccessfully, and sets when to retry the task.
 func (o *Owner) handleExit(js *jobState, index int, i *board.Instance, now time.Time, rq requests) {
-	if now.Sub(i.Asked) < 2*time.Second {
+	if now.Sub(i.StopRequestedAt) < 2*time.Second {
 		return
 	}
-	if i.Asked.IsZero() {
+	if i.StopRequestedAt.IsZero() {
 		delay := time.Duration(0)
 		switch i.Cause {
 		case protocol.CauseError:
-			js.errors++
-			if len(js.badOn) >= 3 { // mostly it is the machine's fault: elsewhere at once
-				delay = min(30*time.Second, 500*time.Millisecond<<min(js.errors, 7))
+			js.errorCount++
+			if len(js.failedOn) >= 3 { // mostly the machine is at fault: retry elsewhere at once
+				delay = min(30*time.Second, 500*time.Millisecond<<min(js.errorCount, 7))
 			}
 		case "no_room", "in_use", "unknown":
 			delay = time.Second
@@ -233,17 +229,17 @@
 		js.retryAt[index] = now.Add(delay)
 		slog.Info("task exited", "task", i.Task, "machine", i.Machine.ID, "cause", i.Cause)
 	}
-	i.Asked = now
-	a := o.to(rq, i.Machine)
-	keep := i.Cause == protocol.CauseIncomplete && o.account(js) == "" && placement.GangAssembles(o.board.Tasks[i.Job], js.job.Spec.Tasks, func(index int) bool { return js.pending[index] != nil })
+	i.StopRequestedAt = now
+	a := o.requestFor(rq, i.Machine)
+	keep := i.Cause == protocol.CauseIncomplete && o.account(js) == "" && placement.GangCanAssemble(o.board.Tasks[i.Job], js.job.Spec.Tasks, func(index int) bool { return js.pending[index] != nil })
 	a.Stops = append(a.Stops, Stop{Task: i.Task, Attempt: i.Attempt, Machine: i.Machine.ID, Forget: true, Keep: keep})
 }
 
-func (o *Owner) askStop(i *board.Instance, grace float64, now time.Time, rq requests) {
-	if now.Sub(i.Asked) < 2*time.Second {
+func (o *Owner) requestStop(i *board.Instance, grace float64, now time.Time, rq requests) {
+	if now.Sub(i.StopRequestedAt) < 2*time.Second {
 		return
 	}
-	i.Asked = now
-	a := o.to(rq, i.Machine)
+	i.StopRequestedAt = now
+	a := o.requestFor(rq, i.Machine)
 	a.Stops = append(a.Stops, Stop{Task: i.Task, Attempt: i.Attempt, Machine: i.Machine.ID, GraceS: grace})
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -19,7 +19,7 @@
 // ErrLater says that it cannot be decided now; the user should come again.
 var ErrLater = errors.New("cannot be decided now")
 
-func (k *Controller) answer(s *standing) *protocol.JobStatus {
+func (k *Controller) answer(s *jobStatus) *protocol.JobStatus {
 	j, running := s.job, s.running
 	done := j.DoneCount()
 	st := &protocol.JobStatus{ID: j.Spec.ID, Status: j.State, Done: &done, Running: &running, Reason: s.reason, StartsInS: s.startsIn}
@@ -41,7 +41,7 @@
 func (k *Controller) Status(ctx context.Context, id string) (*protocol.JobStatus, error) {
 	known := k.owner.Known(ctx, id)
 	if known != nil && known.Final() {
-		return k.confirm(ctx, &standing{job: known})
+		return k.confirm(ctx, &jobStatus{job: known})
 	}
 	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
 	defer cancel()
@@ -53,7 +53,7 @@
 		if !found.Final() && len(found.Spec.Needs) > 0 {
 			return nil, ErrLater // one of those may be cancelled, and it with it
 		}
-		return k.confirm(ctx, &standing{job: found})
+		return k.confirm(ctx, &jobStatus{job: found})
 	}
 	if err := k.reader.Fresh(ctx); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 // said yet (membership.MayConfirm, MayTell): from then on its tasks have only so long to live, wherever
 // they are and whoever knows of it. Nor is a job called unfinished that is known to be cancelled by now:
 // another user may have been told so while the question waited for its read.
-func (k *Controller) confirm(ctx context.Context, s *standing) (*protocol.JobStatus, error) {
+func (k *Controller) confirm(ctx context.Context, s *jobStatus) (*protocol.JobStatus, error) {
 	id := s.job.Spec.ID
 	switch {
 	case s.job.State == protocol.Cancelled:
@@ -79,7 +79,7 @@
 			return nil, ErrLater
 		}
 	case !s.job.Final():
-		if known, ok := askFor(ctx, &k.holder.actor, func() bool { return k.holder.over(id) }); known || !ok {
+		if known, ok := askFor(ctx, &k.holder.actor, func() bool { return k.holder.isJobOver(id) }); known || !ok {
 			return nil, ErrLater
 		}
 	}
@@ -108,9 +108,9 @@
 	if err := k.judge(spec); err != nil {
 		return k.known(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	}
-	with, err := k.needs(ctx, spec)
+	with, err := k.resolveNeeds(ctx, spec)
 	switch {
-	case errors.Is(err, errNever):
+	case errors.Is(err, errUnsatisfiable):
 		return k.known(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	case err != nil:
 		return k.known(ctx, id, nil)
@@ -203,7 +203,7 @@
 			return http.StatusNotFound, errors.New("no such job")
 		}
 	}
-	st, err := k.confirm(ctx, &standing{job: j})
+	st, err := k.confirm(ctx, &jobStatus{job: j})
 	if err != nil {
 		return http.StatusServiceUnavailable, ErrLater
 	}
@@ -213,19 +213,19 @@
 // judgeAccount says why a job with so many tasks at once can never run in its
 // account, if so.
 func judgeAccount(t *quota.Tree, s *protocol.JobSpec, n float64) error {
-	if s.Account == "" && !t.Has(s.Team) {
+	if s.Account == "" && !t.HasTeam(s.Team) {
 		return nil
 	}
 	account, known := t.Find(cmp.Or(s.Account, s.Team))
 	switch {
-	case !t.Has(s.Team):
+	case !t.HasTeam(s.Team):
 		return fmt.Errorf("crew %s has no accounts", s.Team)
 	case !known:
 		return fmt.Errorf("unknown account %q", s.Account)
 	case account.Team() != s.Team:
 		return fmt.Errorf("account %q is not one of crew %s", s.Account, s.Team)
 	}
-	if binds, never := t.Never(account.Name, s.Need().Scale(n)); never {
+	if binds, never := t.NeverFits(account.Name, s.Need().Scale(n)); never {
 		return fmt.Errorf("the job needs more than account %q may use", binds)
 	}
 	return nil
