--- a/cmd/daledyke/lab.go
+++ b/cmd/daledyke/lab.go
@@ -34,7 +34,7 @@
 			}
 			virtual, err := lab.Virtual(args[0])
 			if err == nil {
-				lab.PlayHere(args[0], virtual)
+				lab.ExecuteInProcess(args[0], virtual)
 			}
 			return err
 		},
@@ -93,7 +93,7 @@
 
 func newRunner(out string, atOnce int) (*lab.Runner, error) {
 	program, err := os.Executable()
-	return &lab.Runner{Dir: out, Play: []string{program, "lab", "play"}, AtOnce: atOnce}, err
+	return &lab.Runner{Dir: out, Command: []string{program, "lab", "play"}, Parallel: atOnce}, err
 }
 
 // newBar shows a share that grows.
@@ -147,7 +147,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			found, err := lab.Hunt(ctx, runner, lab.HuntOptions{Seed: seed, Runs: runs, Length: each, Say: func(format string, args ...any) {
+			found, err := lab.Hunt(ctx, runner, lab.HuntOptions{Seed: seed, Runs: runs, Length: each, Printf: func(format string, args ...any) {
 				fmt.Fprintf(cmd.OutOrStdout(), format+"\n", args...)
 			}})
 			if err != nil && !errors.Is(err, context.Canceled) {
--- a/cmd/daledyke/up.go
+++ b/cmd/daledyke/up.go
@@ -93,9 +93,9 @@
 	}
 	ended := make(chan string, o.controllers)
 	d := lab.Example(o.controllers, o.machines)
-	d.Hasten(10)
-	u, err := lab.BringUp(ctx, d, lab.UpOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Door: o.door,
-		Ended: func(name string, err error) { ended <- fmt.Sprintf("%s ended: %v; its log is %s.log", name, err, name) }})
+	d.SpeedUp(10)
+	u, err := lab.BringUp(ctx, d, lab.UpOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Listen: o.door,
+		Exited: func(name string, err error) { ended <- fmt.Sprintf("%s ended: %v; its log is %s.log", name, err, name) }})
 	if err != nil {
 		return err
 	}
@@ -105,15 +105,15 @@
 	}
 	out := cmd.OutOrStdout()
 	first := d.Controllers[0]
-	fmt.Fprintf(out, "The front door is http://%s; %d controllers run:\n", u.Door, o.controllers)
+	fmt.Fprintf(out, "The front door is http://%s; %d controllers run:\n", u.Address, o.controllers)
 	for _, name := range d.Controllers {
 		fmt.Fprintf(out, "  %-10s front %s, internal %s, settings %s\n", name, u.Addresses.Front[name], u.Addresses.Inner[name], u.Files[name])
 	}
 	fmt.Fprintf(out, "Try, in another terminal:\n  daledyke status --address %s\n", u.Addresses.Front[first])
-	fmt.Fprintf(out, "  curl -d '%s' http://%s/v1/jobs\n", sampleJob, u.Door)
-	fmt.Fprintf(out, "  curl http://%s/v1/jobs/wk-1\n", u.Door)
+	fmt.Fprintf(out, "  curl -d '%s' http://%s/v1/jobs\n", sampleJob, u.Address)
+	fmt.Fprintf(out, "  curl http://%s/v1/jobs/wk-1\n", u.Address)
 	if o.settings != "" {
-		fmt.Fprintf(out, "  daledyke qsub --address %s SCRIPT\n", u.Door)
+		fmt.Fprintf(out, "  daledyke qsub --address %s SCRIPT\n", u.Address)
 	}
 	fmt.Fprintln(out, "Interrupt (Ctrl-C) to end it.")
 	for {
--- a/internal/lab/cancelled.go
+++ b/internal/lab/cancelled.go
@@ -28,7 +28,7 @@
 }
 
 // worstCancelled bounds how many cancelled jobs are told one by one.
-const worstCancelled = 5
+const maxWorstCancelled = 5
 
 // summarizeCancelled sums up what became of cancelled jobs, given the slowest first.
 func summarizeCancelled(all []history.Cancellation, within time.Duration) (CancelSummary, error) {
@@ -39,9 +39,9 @@
 		s.StartedAfter += c.StartedAfter
 		s.SentAfter += c.SentAfter
 		if c.Lasted() > 0 {
-			record(took, c.Lasted())
+			recordDuration(took, c.Lasted())
 		}
-		if k < worstCancelled && c.Lasted() > 0 {
+		if k < maxWorstCancelled && c.Lasted() > 0 {
 			s.Worst = append(s.Worst, *c)
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // describe tells one slow cancellation in a line.
-func describe(c *history.Cancellation, within time.Duration) string {
+func describeCancellation(c *history.Cancellation, within time.Duration) string {
 	line := fmt.Sprintf("%s, told at %v, lasted %v of %v", c.Job, c.Told.Round(time.Millisecond), c.Lasted().Round(time.Millisecond), within)
 	if c.Task != "" {
 		line += fmt.Sprintf("; last was %s on %s", c.Task, c.Machine)
--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -16,14 +16,14 @@
 
 // child runs a command that plays a run, and gives how long it took and the most memory
 // (MB) that it had. What it logs goes to a file.
-func child(ctx context.Context, command []string, log string, progress func(float64)) (took time.Duration, memory float64, err error) {
-	f, err := os.Create(log)
+func runCommand(ctx context.Context, command []string, log string, progress func(float64)) (took time.Duration, memory float64, err error) {
+	logFile, err := os.Create(log)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer f.Close()
+	defer logFile.Close()
 	cmd := exec.CommandContext(ctx, command[0], command[1:]...)
-	cmd.Stderr = f
+	cmd.Stderr = logFile
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -44,7 +44,7 @@
 		return 0, 0, ctx.Err()
 	}
 	if err != nil {
-		return 0, 0, fmt.Errorf("%w: %s", err, tail(log))
+		return 0, 0, fmt.Errorf("%w: %s", err, logTail(log))
 	}
 	if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		memory = float64(use.Maxrss) / 1024
@@ -53,7 +53,7 @@
 }
 
 // tail is the end of what a child said.
-func tail(log string) string {
+func logTail(log string) string {
 	raw, err := os.ReadFile(log)
 	if err != nil {
 		return err.Error()
@@ -69,22 +69,22 @@
 // PlayHere plays the run in a directory in this process, which it ends. Virtual time is
 // that of testing/synctest, whose bubbles only tests may open: so this process becomes a
 // test.
-func PlayHere(dir string, virtual bool) {
-	play := func(ctx context.Context) error {
-		return Play(ctx, dir, func(share float64) { fmt.Println(strconv.FormatFloat(share, 'f', 4, 64)) })
+func ExecuteInProcess(dir string, virtual bool) {
+	execute := func(ctx context.Context) error {
+		return Execute(ctx, dir, func(share float64) { fmt.Println(strconv.FormatFloat(share, 'f', 4, 64)) })
 	}
 	if !virtual {
-		if err := play(context.Background()); err != nil {
+		if err := execute(context.Background()); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		os.Exit(0)
 	}
 	os.Args = os.Args[:1] // the flags of tests are not ours
-	all := func(string, string) (bool, error) { return true, nil }
-	testing.Main(all, []testing.InternalTest{{Name: "Run", F: func(t *testing.T) {
+	matchAll := func(string, string) (bool, error) { return true, nil }
+	testing.Main(matchAll, []testing.InternalTest{{Name: "Run", F: func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			if err := play(context.Background()); err != nil {
+			if err := execute(context.Background()); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				t.FailNow()
 			}
@@ -98,9 +98,9 @@
 	if err != nil {
 		return false, err
 	}
-	e, err := r.apply()
+	e, err := r.withSettings()
 	if err != nil {
 		return false, err
 	}
-	return !e.Real, nil
+	return !e.RealTime, nil
 }
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -19,8 +19,8 @@
 // Estimate is a mean over seeds with half the width of its 95% confidence interval (of
 // Student's t); the width is NaN for a single seed.
 type Estimate struct {
-	Mean, Half float64
-	N          int
+	Mean, HalfWidth float64
+	N               int
 }
 
 // estimate is the mean of values.
@@ -42,14 +42,14 @@
 	switch {
 	case e.N == 0:
 		return "-"
-	case math.IsNaN(e.Half):
+	case math.IsNaN(e.HalfWidth):
 		return fmt.Sprintf("%.3g", e.Mean)
 	}
-	return fmt.Sprintf("%.3g ± %.2g", e.Mean, e.Half)
+	return fmt.Sprintf("%.3g ± %.2g", e.Mean, e.HalfWidth)
 }
 
 // Differs tells whether zero lies outside of the interval.
-func (e Estimate) Differs() bool { return e.N > 1 && math.Abs(e.Mean) > e.Half }
+func (e Estimate) Differs() bool { return e.N > 1 && math.Abs(e.Mean) > e.HalfWidth }
 
 // Group are the runs of one version under one setting, which differ by their seeds.
 type Group struct {
@@ -87,10 +87,10 @@
 type Measure struct {
 	Name string
 	// Of gives the value of a run, NaN if it has none.
-	Of func(*Summary) float64
+	Value func(*Summary) float64
 }
 
-func lowest(shares map[string]float64) float64 {
+func lowestShare(shares map[string]float64) float64 {
 	if len(shares) == 0 {
 		return math.NaN()
 	}
@@ -108,10 +108,10 @@
 	}
 	all := []Measure{
 		{"rules broken", func(s *Summary) float64 { return float64(len(s.Broken)) }},
-		{"served, of the lowest class", func(s *Summary) float64 { return lowest(s.ServedClasses) }},
-		{"served, of the lowest team", func(s *Summary) float64 { return lowest(s.ServedTeams) }},
-		{"served, of the lowest class's largest jobs", func(s *Summary) float64 { return lowest(s.ServedLargest) }},
-		{"largest jobs begun in time, lowest class", func(s *Summary) float64 { return lowest(s.BegunLargest) }},
+		{"served, of the lowest class", func(s *Summary) float64 { return lowestShare(s.ServedClasses) }},
+		{"served, of the lowest team", func(s *Summary) float64 { return lowestShare(s.ServedTeams) }},
+		{"served, of the lowest class's largest jobs", func(s *Summary) float64 { return lowestShare(s.ServedLargest) }},
+		{"largest jobs begun in time, lowest class", func(s *Summary) float64 { return lowestShare(s.BegunLargest) }},
 		{"longest without an answer, s", func(s *Summary) float64 { return s.Unanswered.Seconds() }},
 		{"cancelled jobs' tasks gone, worst share of the time allowed", func(s *Summary) float64 { return s.Cancelled.WorstShare }},
 		{"starts after a cancellation was told", func(s *Summary) float64 { return float64(s.Cancelled.StartedAfter) }},
@@ -129,7 +129,7 @@
 		{"memory, MB", func(s *Summary) float64 { return s.MemMB }},
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		of := func(f func(*ClassSummary) float64) func(*Summary) float64 {
+		ofClass := func(f func(*ClassSummary) float64) func(*Summary) float64 {
 			return func(s *Summary) float64 {
 				if c := s.Classes[class]; c != nil {
 					return f(c)
@@ -138,7 +138,7 @@
 			}
 		}
 		quantile := func(pick func(*ClassSummary) []byte, q float64) func(*Summary) float64 {
-			return of(func(c *ClassSummary) float64 {
+			return ofClass(func(c *ClassSummary) float64 {
 				h, err := hdrhistogram.Decode(pick(c))
 				if err != nil || h.TotalCount() == 0 {
 					return math.NaN()
@@ -149,8 +149,8 @@
 		wait := func(c *ClassSummary) []byte { return c.Wait }
 		finish := func(c *ClassSummary) []byte { return c.Finish }
 		all = append(all,
-			Measure{class + ": begun", of(func(c *ClassSummary) float64 { return float64(c.Begun) / float64(c.Jobs) })},
-			Measure{class + ": done", of(func(c *ClassSummary) float64 { return float64(c.Done) / float64(c.Jobs) })},
+			Measure{class + ": begun", ofClass(func(c *ClassSummary) float64 { return float64(c.Begun) / float64(c.Jobs) })},
+			Measure{class + ": done", ofClass(func(c *ClassSummary) float64 { return float64(c.Done) / float64(c.Jobs) })},
 			Measure{class + ": wait, half, s", quantile(wait, 50)},
 			Measure{class + ": wait, 90%, s", quantile(wait, 90)},
 			Measure{class + ": done after, 90%, s", quantile(finish, 90)},
@@ -160,10 +160,10 @@
 }
 
 // of is a measure over a group's seeds, and its difference from the base's, seed by seed.
-func (g *Group) of(m Measure) (value Estimate, difference *Estimate) {
+func (g *Group) estimate(m Measure) (value Estimate, difference *Estimate) {
 	values := func(runs []Summary) (v []float64) {
 		for i := range runs {
-			v = append(v, m.Of(&runs[i]))
+			v = append(v, m.Value(&runs[i]))
 		}
 		return v
 	}
@@ -199,7 +199,7 @@
 	for _, m := range r.measures() {
 		fmt.Fprint(t, m.Name)
 		for _, g := range groups {
-			value, _ := g.of(m)
+			value, _ := g.estimate(m)
 			fmt.Fprintf(t, "\t%v", value)
 		}
 		fmt.Fprintln(t)
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -23,22 +23,22 @@
 	Controllers []string
 	Zones       []string
 	// Control are the zones of the controllers, in turn; nil: those of the machines.
-	Control    []string
-	Types      []protocol.MachineType
-	Teams      []config.Team
-	Objectives []config.Objective
+	ControlZones []string
+	Types        []protocol.MachineType
+	Teams        []config.Team
+	Objectives   []config.Objective
 	// Machines is how many there can be at once, and Most how many of some types.
-	Machines int
-	Most     map[string]int
+	Machines  int
+	MaxByType map[string]int
 	// The workers' times.
 	ReportEvery, Lease, GangWait, GangPeer, CancelWithin time.Duration
 	State                                                emulator.Limits
 	CloudRPS                                             float64
 	ListLag                                              time.Duration
-	ClockOff                                             time.Duration
+	ClockOffset                                          time.Duration
 	// Cores, MemMB and Files are what each controller has.
 	Cores, MemMB float64
-	Files        int
+	FDLimit      int
 }
 
 // Example is a deployment of so many controllers and machines. Its numbers are its own:
@@ -46,7 +46,7 @@
 func Example(controllers, machines int) Deployment {
 	d := Deployment{Zones: []string{"north", "south", "west"}, Machines: machines,
 		ReportEvery: 4 * time.Second, Lease: 24 * time.Second, GangWait: 40 * time.Second, GangPeer: 4 * time.Second, CancelWithin: 45 * time.Second,
-		CloudRPS: 12, ListLag: 4 * time.Second, ClockOff: 200 * time.Millisecond, Cores: 0.25, MemMB: 160, Files: 1500}
+		CloudRPS: 12, ListLag: 4 * time.Second, ClockOffset: 200 * time.Millisecond, Cores: 0.25, MemMB: 160, FDLimit: 1500}
 	// The state service grows with the deployment, as one would rent it.
 	d.State = emulator.Limits{RPS: 200 + float64(machines), WriteRPS: 120 + float64(machines)/4, ValueKB: 8, TxnOps: 24}
 	for n := range controllers {
@@ -69,17 +69,17 @@
 
 // Hasten has machines boot and fetch so many times faster: nobody who tries the program
 // wants to wait for a machine that is none.
-func (d *Deployment) Hasten(by float64) {
+func (d *Deployment) SpeedUp(factor float64) {
 	for i := range d.Types {
-		d.Types[i].BootS /= by
-		d.Types[i].FetchRate *= by
+		d.Types[i].BootS /= factor
+		d.Types[i].FetchRate *= factor
 	}
 }
 
 // Setup is the world around the deployment's controllers. A world that varies strays
 // from its nominal values as far as the protocol lets it.
 func (d *Deployment) Setup(seed uint64, varies bool) emulator.Setup {
-	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, Most: d.Most, CloudRPS: d.CloudRPS, State: d.State,
+	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, Most: d.MaxByType, CloudRPS: d.CloudRPS, State: d.State,
 		ReportEvery: d.ReportEvery, Lease: d.Lease, GangWait: d.GangWait, GangPeer: d.GangPeer, CancelWithin: d.CancelWithin, Seed: seed}
 	if varies {
 		s.Variation = emulator.Variation{Boots: true, NeverUp: 0.01, Speeds: true, Reports: true, Prices: true, ListLag: d.ListLag}
@@ -106,13 +106,13 @@
 		}
 		p.Siblings = append(p.Siblings, config.Sibling{Name: other, Zone: zone, Addr: a.Inner[other]})
 	}
-	q := &p.Deployment
-	q.Size, q.Zones, q.ClockOffMs, q.Teams, q.Objectives = len(d.Controllers), d.Zones, float64(d.ClockOff.Milliseconds()), d.Teams, d.Objectives
-	q.Workers.ReportS, q.Workers.LeaseS = d.ReportEvery.Seconds(), d.Lease.Seconds()
-	q.Workers.GangWaitS, q.Workers.GangPeerS, q.Workers.CancelS = d.GangWait.Seconds(), d.GangPeer.Seconds(), d.CancelWithin.Seconds()
-	q.State.RPS, q.State.WriteRPS, q.State.ValueKB, q.State.TxnOps = d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps
-	q.Cloud.RPS, q.Cloud.ListLagS = d.CloudRPS, d.ListLag.Seconds()
-	q.Limits.Cores, q.Limits.MemMB, q.Limits.FDLimit = d.Cores, d.MemMB, d.Files
+	settings := &p.Deployment
+	settings.Size, settings.Zones, settings.ClockOffMs, settings.Teams, settings.Objectives = len(d.Controllers), d.Zones, float64(d.ClockOffset.Milliseconds()), d.Teams, d.Objectives
+	settings.Workers.ReportS, settings.Workers.LeaseS = d.ReportEvery.Seconds(), d.Lease.Seconds()
+	settings.Workers.GangWaitS, settings.Workers.GangPeerS, settings.Workers.CancelS = d.GangWait.Seconds(), d.GangPeer.Seconds(), d.CancelWithin.Seconds()
+	settings.State.RPS, settings.State.WriteRPS, settings.State.ValueKB, settings.State.TxnOps = d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps
+	settings.Cloud.RPS, settings.Cloud.ListLagS = d.CloudRPS, d.ListLag.Seconds()
+	settings.Limits.Cores, settings.Limits.MemMB, settings.Limits.FDLimit = d.Cores, d.MemMB, d.FDLimit
 	return p
 }
 
@@ -128,8 +128,8 @@
 
 // controlZone is the zone of the controller with a number.
 func (d *Deployment) controlZone(n int) string {
-	if len(d.Control) > 0 {
-		return d.Control[n%len(d.Control)]
+	if len(d.ControlZones) > 0 {
+		return d.ControlZones[n%len(d.ControlZones)]
 	}
 	return d.Zones[n%len(d.Zones)]
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -15,7 +15,7 @@
 type Experiment struct {
 	Name string
 	// Real: on loopback in real time, with processes; else in virtual time.
-	Real        bool
+	RealTime    bool
 	Controllers int
 	Machines    int
 	Length      time.Duration
@@ -31,9 +31,9 @@
 	Scale float64
 	// Served is the least share of any class's and any team's work that must be served, 0
 	// for none.
-	Served float64
+	MinServed float64
 	// Own is what the deployment has instead of the example's.
-	Own Own
+	Overrides Overrides
 }
 
 // Version is a built program that is compared; the first is what the others are compared
@@ -55,23 +55,23 @@
 	Shape    protocol.Shape
 	Priority protocol.Priority
 	Arrivals []Arrivals
-	Tasks    Draw
+	Tasks    Distribution
 	// Run is a task's run time in seconds on a machine of nominal speed.
-	Run Draw
+	RunTime Distribution
 	// Error is the sigma of the factor by which owners err about run times.
-	Error              float64
+	EstimateError      float64
 	Cores, Accels, RAM float64
 	Image              string
 	ImageGB            float64
 	// Images is how many images of that size there are; a job has one of them.
 	Images int
 	// Types are the machine types that its tasks may be on, nil for any.
-	Types            []string
-	SaveEvery, Save  time.Duration
-	Spot             bool
-	OneZone, Scatter bool
+	Types                           []string
+	CheckpointEvery, CheckpointTime time.Duration
+	Spot                            bool
+	OneZone, Scatter                bool
 	// Due is a job's deadline in run times, 0 for none.
-	Due float64
+	DeadlineFactor float64
 	// Cancelled, Chained and Mistaken are the shares of jobs that their users cancel, that
 	// need the one before, and that are submitted with a mistake.
 	Cancelled, Chained, Mistaken float64
@@ -91,7 +91,7 @@
 // Draw is a number or a distribution: const (A), uniform (from A to B), lognormal (of
 // median A and sigma B), exponential (of mean A), pareto (of least A and index B) or
 // choice (of values, each with its weight).
-type Draw struct {
+type Distribution struct {
 	Kind   string
 	A, B   float64
 	Values []float64 // of a choice: value, weight, value, weight, ...
@@ -100,24 +100,24 @@
 // Fault is something that fails at a time, for as long as it says.
 type Fault struct {
 	At   time.Duration
-	Verb string
+	Kind string
 	Args []string
 }
 
-func (f Fault) String() string { return f.Verb + " " + strings.Join(f.Args, " ") }
+func (f Fault) String() string { return f.Kind + " " + strings.Join(f.Args, " ") }
 
 // check tells what does not go together.
-func (e *Experiment) check() error {
+func (e *Experiment) validate() error {
 	switch {
 	case len(e.Classes) == 0:
 		return errors.New("no class of work is there")
 	case e.Length < 10*time.Second:
 		return errors.New("length must be at least 10s")
-	case len(e.Versions) > 0 && !e.Real:
+	case len(e.Versions) > 0 && !e.RealTime:
 		return errors.New("versions are compared in real time: (clock real)")
 	}
 	d := e.deployment()
-	if err := e.Own.check(&d); err != nil {
+	if err := e.Overrides.validate(&d); err != nil {
 		return err
 	}
 	names := map[string]bool{}
@@ -143,8 +143,8 @@
 		}
 	}
 	for _, f := range e.Faults {
-		if err := f.check(e, &d); err != nil {
-			return fmt.Errorf("at %v: %s: %w", f.At, f.Verb, err)
+		if err := f.validate(e, &d); err != nil {
+			return fmt.Errorf("at %v: %s: %w", f.At, f.Kind, err)
 		}
 	}
 	return nil
--- a/internal/lab/experiment_parse.go
+++ b/internal/lab/experiment_parse.go
@@ -39,37 +39,37 @@
 		return nil, fmt.Errorf("not one list: %w", err)
 	}
 	list, ok := forms.Items(raw, "experiment", 1)
-	if !ok || len(list) == 0 || edn.Unmarshal(list[0].Raw, &e.Name) != nil || !plainName(e.Name) {
+	if !ok || len(list) == 0 || edn.Unmarshal(list[0].Raw, &e.Name) != nil || !isPlainName(e.Name) {
 		return nil, errors.New(`line 1: it must begin with (experiment "name", of letters, digits and dashes`)
 	}
 	seen := map[string]bool{}
 	for _, item := range list[1:] {
-		if err := e.set(item, seen); err != nil {
+		if err := e.setEntry(item, seen); err != nil {
 			return nil, fmt.Errorf("line %d: %w", item.Line, err)
 		}
 	}
-	return e, e.check()
+	return e, e.validate()
 }
 
-func plainName(s string) bool {
+func isPlainName(s string) bool {
 	return s != "" && len(s) < 80 && strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.") == ""
 }
 
 // words reads a list into a symbol and its values as text.
-func words(raw []byte) (head string, rest []string, err error) {
+func parseForm(raw []byte) (head string, rest []string, err error) {
 	var form []edn.RawMessage
 	var symbol edn.Symbol
 	if edn.Unmarshal(raw, &form) != nil || len(form) == 0 || edn.Unmarshal(form[0], &symbol) != nil {
 		return "", nil, fmt.Errorf("not a list that begins with a name: %.60s", raw)
 	}
-	rest, err = texts(form[1:])
+	rest, err = valueTexts(form[1:])
 	return string(symbol), rest, err
 }
 
 // texts are values as text, all of it printable.
-func texts(raw []edn.RawMessage) (values []string, err error) {
+func valueTexts(raw []edn.RawMessage) (values []string, err error) {
 	for _, r := range raw {
-		v := text(r)
+		v := valueText(r)
 		if strings.ContainsFunc(v, func(c rune) bool { return !unicode.IsPrint(c) && c != '\n' && c != '\t' }) {
 			return nil, fmt.Errorf("%q can't be printed", v)
 		}
@@ -79,7 +79,7 @@
 }
 
 // text is a value as text: a string's, or as it is written.
-func text(raw []byte) string {
+func valueText(raw []byte) string {
 	var s string
 	if edn.Unmarshal(raw, &s) == nil {
 		return s
@@ -87,7 +87,7 @@
 	return strings.TrimSpace(string(raw))
 }
 
-func duration(s string) (time.Duration, error) {
+func parseDuration(s string) (time.Duration, error) {
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 || d > 48*time.Hour {
 		return 0, fmt.Errorf("%q is no time from 0s to 48h", s)
@@ -95,24 +95,24 @@
 	return d, nil
 }
 
-func decimal(s string, least, most float64) (float64, error) {
+func parseFloat(s string, minimum, maximum float64) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(v >= least && v <= most) {
-		return 0, fmt.Errorf("%q is no number from %v to %v", s, least, most)
+	if err != nil || !(v >= minimum && v <= maximum) {
+		return 0, fmt.Errorf("%q is no number from %v to %v", s, minimum, maximum)
 	}
 	return v, nil
 }
 
-func whole(s string, least, most int) (int, error) {
+func parseInt(s string, minimum, maximum int) (int, error) {
 	v, err := strconv.Atoi(s)
-	if err != nil || v < least || v > most {
-		return 0, fmt.Errorf("%q is no whole number from %d to %d", s, least, most)
+	if err != nil || v < minimum || v > maximum {
+		return 0, fmt.Errorf("%q is no whole number from %d to %d", s, minimum, maximum)
 	}
 	return v, nil
 }
 
 // one is the only value of an entry.
-func one(values []string) (string, error) {
+func singleValue(values []string) (string, error) {
 	if len(values) != 1 {
 		return "", fmt.Errorf("one value is needed, not %d", len(values))
 	}
@@ -120,21 +120,21 @@
 }
 
 func parseClass(raw []byte) (c Class, err error) {
-	c = Class{Teams: []string{"desk"}, Shape: protocol.Array, Priority: "normal", Tasks: Draw{Kind: "const", A: 1}, Run: Draw{Kind: "const", A: 30},
+	c = Class{Teams: []string{"desk"}, Shape: protocol.Array, Priority: "normal", Tasks: Distribution{Kind: "const", A: 1}, RunTime: Distribution{Kind: "const", A: 30},
 		Cores: 4, RAM: 8, Image: "tools", ImageGB: 2}
 	name, entries, err := forms.Named(raw, "class")
 	if err != nil {
 		return c, err
 	}
-	if c.Name = name; !plainName(name) {
+	if c.Name = name; !isPlainName(name) {
 		return c, fmt.Errorf("%q: its name must be of letters, digits, dots and dashes", name)
 	}
 	for _, entry := range entries {
-		values, err := texts(entry.Values)
+		values, err := valueTexts(entry.Values)
 		if err != nil {
 			return c, fmt.Errorf("%q: %s: %w", name, entry.Name, err)
 		}
-		if err := c.set(entry.Name, values, entry.Values); err != nil {
+		if err := c.setEntry(entry.Name, values, entry.Values); err != nil {
 			return c, fmt.Errorf("%q: %s: %w", name, entry.Name, err)
 		}
 	}
@@ -145,40 +145,40 @@
 }
 
 func parseArrivals(raw []byte) (a Arrivals, err error) {
-	head, values, err := words(raw)
+	head, values, err := parseForm(raw)
 	if err != nil {
 		return a, err
 	}
 	a.Kind = head
-	need := map[string]int{"start": 1, "poisson": 1, "burst": 2, "swing": 3}[head]
-	if need == 0 || len(values) != need {
+	arity := map[string]int{"start": 1, "poisson": 1, "burst": 2, "swing": 3}[head]
+	if arity == 0 || len(values) != arity {
 		return a, fmt.Errorf("(start COUNT), (poisson GAP), (burst AT COUNT) or (swing GAP PERIOD DEPTH), not %s", raw)
 	}
 	switch head {
 	case "start":
-		a.Count, err = whole(values[0], 1, 100000)
+		a.Count, err = parseInt(values[0], 1, 100000)
 	case "burst":
-		if a.At, err = duration(values[0]); err == nil {
-			a.Count, err = whole(values[1], 1, 100000)
+		if a.At, err = parseDuration(values[0]); err == nil {
+			a.Count, err = parseInt(values[1], 1, 100000)
 		}
 	default:
-		if a.Gap, err = duration(values[0]); err == nil && a.Gap < time.Millisecond {
+		if a.Gap, err = parseDuration(values[0]); err == nil && a.Gap < time.Millisecond {
 			err = fmt.Errorf("%v is too small a gap", a.Gap)
 		}
 		if err == nil && head == "swing" {
-			if a.Period, err = duration(values[1]); err == nil {
-				a.Depth, err = decimal(values[2], 0, 1)
+			if a.Period, err = parseDuration(values[1]); err == nil {
+				a.Depth, err = parseFloat(values[2], 0, 1)
 			}
 		}
 	}
 	return a, err
 }
 
-func parseDraw(raw []byte) (d Draw, err error) {
+func parseDistribution(raw []byte) (d Distribution, err error) {
 	if v, ok := forms.Number(raw); ok {
-		return Draw{Kind: "const", A: v}, nil
+		return Distribution{Kind: "const", A: v}, nil
 	}
-	head, values, err := words(raw)
+	head, values, err := parseForm(raw)
 	if err != nil {
 		return d, err
 	}
@@ -186,7 +186,7 @@
 		d.Kind = head
 		sum := 0.0
 		for n, value := range values {
-			v, err := decimal(value, 0, 1e6)
+			v, err := parseFloat(value, 0, 1e6)
 			if err != nil {
 				return d, err
 			}
@@ -198,13 +198,13 @@
 		}
 		return d, nil
 	}
-	need := map[string]int{"uniform": 2, "lognormal": 2, "exponential": 1, "pareto": 2}[head]
-	if need == 0 || len(values) != need {
+	arity := map[string]int{"uniform": 2, "lognormal": 2, "exponential": 1, "pareto": 2}[head]
+	if arity == 0 || len(values) != arity {
 		return d, fmt.Errorf("a number, (uniform A B), (lognormal MEDIAN SIGMA), (exponential MEAN), (pareto LEAST INDEX) or (choice VALUE WEIGHT ...), not %s", raw)
 	}
 	d.Kind = head
-	if d.A, err = decimal(values[0], 0, 1e6); err == nil && need == 2 {
-		d.B, err = decimal(values[1], 0, 1e6)
+	if d.A, err = parseFloat(values[0], 0, 1e6); err == nil && arity == 2 {
+		d.B, err = parseFloat(values[1], 0, 1e6)
 	}
 	if err == nil && (head == "uniform" && d.B < d.A || head == "pareto" && (d.A <= 0 || d.B <= 0)) {
 		err = fmt.Errorf("%s has no such values", head)
@@ -213,8 +213,8 @@
 }
 
 // set takes one entry of an experiment.
-func (e *Experiment) set(item forms.Item, seen map[string]bool) (err error) {
-	head, values, err := words(item.Raw)
+func (e *Experiment) setEntry(item forms.Item, seen map[string]bool) (err error) {
+	head, values, err := parseForm(item.Raw)
 	if err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 	value := ""
 	switch head {
 	case "clock", "controllers", "machines", "length", "rest", "scale", "served":
-		if value, err = one(values); err != nil {
+		if value, err = singleValue(values); err != nil {
 			return err
 		}
 	}
@@ -239,19 +239,19 @@
 		if value != "virtual" && value != "real" {
 			return fmt.Errorf("it is virtual or real, not %q", value)
 		}
-		e.Real = value == "real"
+		e.RealTime = value == "real"
 	case "controllers":
-		e.Controllers, err = whole(value, 1, 15)
+		e.Controllers, err = parseInt(value, 1, 15)
 	case "machines":
-		e.Machines, err = whole(value, 1, 20000)
+		e.Machines, err = parseInt(value, 1, 20000)
 	case "length":
-		e.Length, err = duration(value)
+		e.Length, err = parseDuration(value)
 	case "rest":
-		e.Rest, err = duration(value)
+		e.Rest, err = parseDuration(value)
 	case "scale":
-		e.Scale, err = decimal(value, 0.001, 1000)
+		e.Scale, err = parseFloat(value, 0.001, 1000)
 	case "served":
-		e.Served, err = decimal(value, 0, 1)
+		e.MinServed, err = parseFloat(value, 0, 1)
 	case "seeds":
 		e.Seeds = nil
 		for _, v := range values {
@@ -265,7 +265,7 @@
 			return errors.New("1 to 1000 seeds are needed")
 		}
 	case "version":
-		if len(values) != 2 || !plainName(values[0]) {
+		if len(values) != 2 || !isPlainName(values[0]) {
 			return errors.New("a name and a path are needed")
 		}
 		e.Versions = append(e.Versions, Version{values[0], values[1]})
@@ -278,7 +278,7 @@
 			return fmt.Errorf("controllers, machines, scale and size can vary, not %s", v.Name)
 		}
 		for _, s := range values[1:] {
-			n, err := decimal(s, 0.001, 20000)
+			n, err := parseFloat(s, 0.001, 20000)
 			if err != nil {
 				return err
 			}
@@ -291,10 +291,10 @@
 			return errors.New("a time and one fault are needed")
 		}
 		var f Fault
-		if f.At, err = duration(text(form[1])); err != nil {
+		if f.At, err = parseDuration(valueText(form[1])); err != nil {
 			return err
 		}
-		if f.Verb, f.Args, err = words(form[2]); err != nil {
+		if f.Kind, f.Args, err = parseForm(form[2]); err != nil {
 			return err
 		}
 		e.Faults = append(e.Faults, f)
@@ -305,18 +305,18 @@
 		}
 		e.Classes = append(e.Classes, c)
 	default:
-		return e.Own.set(head, values, item.Raw)
+		return e.Overrides.setEntry(head, values, item.Raw)
 	}
 	return err
 }
 
-func (c *Class) set(name string, values []string, raw []edn.RawMessage) (err error) {
+func (c *Class) setEntry(name string, values []string, raw []edn.RawMessage) (err error) {
 	value := values[0]
 	if len(values) != 1 && name != "image" && name != "saves" && name != "arrivals" && name != "types" && name != "team" {
 		return fmt.Errorf("one value is needed, not %d", len(values))
 	}
-	share := func(into *float64) { *into, err = decimal(value, 0, 1) }
-	yes := func(into *bool) {
+	setShare := func(into *float64) { *into, err = parseFloat(value, 0, 1) }
+	setBool := func(into *bool) {
 		if *into = value == "true"; value != "true" && value != "false" {
 			err = fmt.Errorf("true or false, not %q", value)
 		}
@@ -343,48 +343,48 @@
 			c.Arrivals = append(c.Arrivals, a)
 		}
 	case "tasks":
-		c.Tasks, err = parseDraw(raw[0])
+		c.Tasks, err = parseDistribution(raw[0])
 	case "run":
-		c.Run, err = parseDraw(raw[0])
+		c.RunTime, err = parseDistribution(raw[0])
 	case "error":
-		c.Error, err = decimal(value, 0, 3)
+		c.EstimateError, err = parseFloat(value, 0, 3)
 	case "cores":
-		c.Cores, err = decimal(value, 0, 1000)
+		c.Cores, err = parseFloat(value, 0, 1000)
 	case "accels":
-		c.Accels, err = decimal(value, 0, 100)
+		c.Accels, err = parseFloat(value, 0, 100)
 	case "ram":
-		c.RAM, err = decimal(value, 0, 10000)
+		c.RAM, err = parseFloat(value, 0, 10000)
 	case "image":
 		if len(values) != 2 {
 			return errors.New("a name and its GB are needed")
 		}
 		c.Image = value
-		c.ImageGB, err = decimal(values[1], 0, 1000)
+		c.ImageGB, err = parseFloat(values[1], 0, 1000)
 	case "images":
-		c.Images, err = whole(value, 1, 10000)
+		c.Images, err = parseInt(value, 1, 10000)
 	case "types":
 		c.Types = values
 	case "saves":
 		if len(values) != 2 {
 			return errors.New("how often and for how long are needed")
 		}
-		if c.SaveEvery, err = duration(values[0]); err == nil {
-			c.Save, err = duration(values[1])
+		if c.CheckpointEvery, err = parseDuration(values[0]); err == nil {
+			c.CheckpointTime, err = parseDuration(values[1])
 		}
 	case "spot":
-		yes(&c.Spot)
+		setBool(&c.Spot)
 	case "one-zone":
-		yes(&c.OneZone)
+		setBool(&c.OneZone)
 	case "scatter":
-		yes(&c.Scatter)
+		setBool(&c.Scatter)
 	case "due":
-		c.Due, err = decimal(value, 1, 1000)
+		c.DeadlineFactor, err = parseFloat(value, 1, 1000)
 	case "cancelled":
-		share(&c.Cancelled)
+		setShare(&c.Cancelled)
 	case "chained":
-		share(&c.Chained)
+		setShare(&c.Chained)
 	case "mistaken":
-		share(&c.Mistaken)
+		setShare(&c.Mistaken)
 	default:
 		err = errors.New("there is no such entry")
 	}
--- a/internal/lab/experiment_write.go
+++ b/internal/lab/experiment_write.go
@@ -15,21 +15,21 @@
 	p := func(format string, args ...any) { fmt.Fprintf(&b, "\n  "+format, args...) }
 	fmt.Fprintf(&b, "(experiment %q", e.Name)
 	clock := "virtual"
-	if e.Real {
+	if e.RealTime {
 		clock = "real"
 	}
 	p("(clock %s) (controllers %d) (machines %d) (length %q) (rest %q) (scale %v)", clock, e.Controllers, e.Machines, e.Length, e.Rest, e.Scale)
-	p("(seeds%s)", joined(e.Seeds))
-	if e.Served > 0 {
-		p("(served %v)", e.Served)
+	p("(seeds%s)", joinValues(e.Seeds))
+	if e.MinServed > 0 {
+		p("(served %v)", e.MinServed)
 	}
 	for _, v := range e.Versions {
 		p("(version %q %q)", v.Name, v.Path)
 	}
 	for _, v := range e.Vary {
-		p("(vary %s%s)", v.Name, joined(v.Values))
+		p("(vary %s%s)", v.Name, joinValues(v.Values))
 	}
-	for _, line := range e.Own.lines() {
+	for _, line := range e.Overrides.entries() {
 		p("%s", line)
 	}
 	for _, c := range e.Classes {
@@ -40,13 +40,13 @@
 		for _, a := range f.Args {
 			args += fmt.Sprintf(" %q", a)
 		}
-		p("(at %q (%s%s))", f.At, f.Verb, args)
+		p("(at %q (%s%s))", f.At, f.Kind, args)
 	}
 	b.WriteString(")\n")
 	return b.String()
 }
 
-func joined[T any](values []T) (s string) {
+func joinValues[T any](values []T) (s string) {
 	for _, v := range values {
 		s += fmt.Sprint(" ", v)
 	}
@@ -56,15 +56,15 @@
 func (c Class) String() string {
 	shape := map[protocol.Shape]string{protocol.Array: "array", protocol.Gang: "gang", protocol.Service: "service"}[c.Shape]
 	s := fmt.Sprintf("(class %q (team%s) (shape %s) (priority %s) (arrivals%s) (tasks %s) (run %s) (error %v)\n    (cores %v) (accels %v) (ram %v) (image %q %v)",
-		c.Name, quoted(c.Teams), shape, c.Priority, joined(c.Arrivals), c.Tasks, c.Run, c.Error, c.Cores, c.Accels, c.RAM, c.Image, c.ImageGB)
+		c.Name, quoteValues(c.Teams), shape, c.Priority, joinValues(c.Arrivals), c.Tasks, c.RunTime, c.EstimateError, c.Cores, c.Accels, c.RAM, c.Image, c.ImageGB)
 	if c.Images > 0 {
 		s += fmt.Sprintf(" (images %d)", c.Images)
 	}
 	if c.Types != nil {
-		s += " (types" + quoted(c.Types) + ")"
+		s += " (types" + quoteValues(c.Types) + ")"
 	}
-	if c.SaveEvery > 0 {
-		s += fmt.Sprintf(" (saves %q %q)", c.SaveEvery, c.Save)
+	if c.CheckpointEvery > 0 {
+		s += fmt.Sprintf(" (saves %q %q)", c.CheckpointEvery, c.CheckpointTime)
 	}
 	for _, flag := range []struct {
 		name string
@@ -74,8 +74,8 @@
 			s += " (" + flag.name + " true)"
 		}
 	}
-	if c.Due > 0 {
-		s += fmt.Sprintf(" (due %v)", c.Due)
+	if c.DeadlineFactor > 0 {
+		s += fmt.Sprintf(" (due %v)", c.DeadlineFactor)
 	}
 	return s + fmt.Sprintf(" (cancelled %v) (chained %v) (mistaken %v))", c.Cancelled, c.Chained, c.Mistaken)
 }
@@ -92,14 +92,14 @@
 	return fmt.Sprintf("(%s %q)", a.Kind, a.Gap)
 }
 
-func (d Draw) String() string {
+func (d Distribution) String() string {
 	switch d.Kind {
 	case "const":
 		return fmt.Sprint(d.A)
 	case "exponential":
 		return fmt.Sprintf("(exponential %v)", d.A)
 	case "choice":
-		return "(choice" + joined(d.Values) + ")"
+		return "(choice" + joinValues(d.Values) + ")"
 	}
 	return fmt.Sprintf("(%s %v %v)", d.Kind, d.A, d.B)
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -14,7 +14,7 @@
 )
 
 // What can fail, and with which arguments. A TIME is how long it lasts.
-var faultArgs = map[string]string{
+var faultParameters = map[string]string{
 	"state-outage":  "TIME",            // the state service is away for all
 	"state-refuses": "TIME NODE",       // one controller gets 503
 	"state-slow":    "TIME BY",         // answers take so long
@@ -38,39 +38,39 @@
 	"cancel-now":    "N [FOR]",         // users cancel N jobs that run; up to eight of their machines hang FOR
 }
 
-var troubles = map[string]emulator.Trouble{"die": emulator.Dies, "hang": emulator.Hangs, "sicken": emulator.Sickens, "slow": emulator.Slows,
+var machineTroubles = map[string]emulator.Trouble{"die": emulator.Dies, "hang": emulator.Hangs, "sicken": emulator.Sickens, "slow": emulator.Slows,
 	"leave": emulator.Leaves, "taken": emulator.Taken, "deafen": emulator.Deafens, "hold": emulator.Holds, "mute": emulator.Mutes, "reboot": emulator.Reboots}
 
 // ends are what ends a trouble that lasts.
-var ends = map[string]emulator.Trouble{"hang": emulator.Resumes, "deafen": emulator.Hears, "hold": emulator.Hears, "mute": emulator.Speaks}
+var troubleEnds = map[string]emulator.Trouble{"hang": emulator.Resumes, "deafen": emulator.Hears, "hold": emulator.Hears, "mute": emulator.Speaks}
 
 // check tells what is senseless about a fault.
-func (f Fault) check(e *Experiment, d *Deployment) error {
-	form, known := faultArgs[f.Verb]
+func (f Fault) validate(e *Experiment, d *Deployment) error {
+	form, known := faultParameters[f.Kind]
 	if !known {
 		return errors.New("there is no such fault")
 	}
-	need := strings.Fields(form)
-	least := len(need)
-	if strings.HasPrefix(need[least-1], "[") {
-		least--
+	parameters := strings.Fields(form)
+	required := len(parameters)
+	if strings.HasPrefix(parameters[required-1], "[") {
+		required--
 	}
-	if len(f.Args) < least || len(f.Args) > len(need) {
+	if len(f.Args) < required || len(f.Args) > len(parameters) {
 		return fmt.Errorf("it takes %s", form)
 	}
 	for n, arg := range f.Args {
 		var err error
-		switch strings.Trim(need[n], "[]") {
+		switch strings.Trim(parameters[n], "[]") {
 		case "TIME", "BY", "FOR":
-			_, err = duration(arg)
+			_, err = parseDuration(arg)
 		case "SHARE":
-			_, err = decimal(arg, 0, 1)
+			_, err = parseFloat(arg, 0, 1)
 		case "FACTOR":
-			_, err = decimal(arg, 0, 100)
+			_, err = parseFloat(arg, 0, 100)
 		case "N":
-			_, err = whole(arg, 1, 20000)
+			_, err = parseInt(arg, 1, 20000)
 		case "NODE":
-			if !slices.Contains(d.Controllers, arg) && !(arg == "all" && f.Verb == "crash") {
+			if !slices.Contains(d.Controllers, arg) && !(arg == "all" && f.Kind == "crash") {
 				err = fmt.Errorf("there is no controller %s: they are %s", arg, strings.Join(d.Controllers, ", "))
 			}
 		case "ZONE":
@@ -82,7 +82,7 @@
 				err = fmt.Errorf("workers, siblings, services or all, not %s", arg)
 			}
 		case "TROUBLE":
-			if troubles[arg] == "" {
+			if machineTroubles[arg] == "" {
 				err = fmt.Errorf("machines don't do that: %s", arg)
 			}
 		}
@@ -90,10 +90,10 @@
 			return err
 		}
 	}
-	if e.Real && strings.HasPrefix(f.Verb, "cut") {
+	if e.RealTime && strings.HasPrefix(f.Kind, "cut") {
 		return errors.New("connections are cut in virtual time alone")
 	}
-	if !e.Real && f.Verb == "hangs" {
+	if !e.RealTime && f.Kind == "hangs" {
 		return errors.New("controllers hang in real time alone")
 	}
 	return nil
@@ -101,48 +101,48 @@
 
 // breaker carries faults out. Faults of the same kind may overlap: what they set counts
 // how many are under way, so that the first to end does not end the others.
-type breaker struct {
-	d     *Deployment
-	world *emulator.World
-	net   *emulator.Pipes // nil in real time
-	hosts hosts
-	depth map[string]int
-	cuts  map[string]func(from, to string) bool
-	note  func(history.Event)
-	fail  func(error)
+type faultInjector struct {
+	deployment *Deployment
+	world      *emulator.World
+	net        *emulator.Pipes // nil in real time
+	launcher   launcher
+	active     map[string]int
+	cuts       map[string]func(from, to string) bool
+	note       func(history.Event)
+	fail       func(error)
 	// cancel has the user of a job cancel it; draw draws what is chosen by chance.
 	cancel func(job string)
-	draw   *rand.Rand
+	rng    *rand.Rand
 }
 
 // Users who cancel at once do so within cancelSpread; of the machines of their jobs at most
 // mostHung hang.
 const (
 	cancelSpread = 200 * time.Millisecond
-	mostHung     = 8
+	maxHung      = 8
 )
 
 // cancelNow has users cancel n of the jobs that run; it gives the machines of theirs that hang
 // from now on, none unless hang is set.
-func (b *breaker) cancelNow(n int, hang bool, after func(time.Duration, func())) (hung []string) {
+func (b *faultInjector) cancelNow(n int, hang bool, after func(time.Duration, func())) (hung []string) {
 	var jobs, machines []string
 	b.world.Rules(func(r *history.Checker) {
 		jobs = r.Running()
-		b.draw.Shuffle(len(jobs), func(i, k int) { jobs[i], jobs[k] = jobs[k], jobs[i] })
+		b.rng.Shuffle(len(jobs), func(i, k int) { jobs[i], jobs[k] = jobs[k], jobs[i] })
 		jobs = jobs[:min(n, len(jobs))]
 		for _, id := range jobs {
 			machines = append(machines, slices.Sorted(maps.Values(r.Machines(id)))...)
 		}
 	})
 	for _, id := range jobs {
-		after(time.Duration(b.draw.Int64N(int64(cancelSpread))), func() { b.cancel(id) })
+		after(time.Duration(b.rng.Int64N(int64(cancelSpread))), func() { b.cancel(id) })
 	}
 	if !hang {
 		return nil
 	}
-	b.draw.Shuffle(len(machines), func(i, k int) { machines[i], machines[k] = machines[k], machines[i] })
+	b.rng.Shuffle(len(machines), func(i, k int) { machines[i], machines[k] = machines[k], machines[i] })
 	for _, id := range machines {
-		if len(hung) < mostHung && !slices.Contains(hung, id) && b.world.Strike(id, emulator.Hangs) == nil {
+		if len(hung) < maxHung && !slices.Contains(hung, id) && b.world.Strike(id, emulator.Hangs) == nil {
 			hung = append(hung, id)
 		}
 	}
@@ -150,28 +150,28 @@
 }
 
 // on is a value while something lasts, and none once it is over.
-func on[T any](yes bool, v T) (now T) {
-	if yes {
-		now = v
+func valueIf[T any](condition bool, v T) (result T) {
+	if condition {
+		result = v
 	}
-	return now
+	return result
 }
 
-func (b *breaker) crash(name string, yes bool) {
-	kind, do := history.NodeUp, b.hosts.start
-	if yes {
-		kind, do = history.NodeDown, b.hosts.kill
+func (b *faultInjector) setCrashed(name string, crashed bool) {
+	kind, change := history.NodeUp, b.launcher.start
+	if crashed {
+		kind, change = history.NodeDown, b.launcher.kill
 	}
-	if err := do(name); err != nil {
+	if err := change(name); err != nil {
 		b.fail(err)
 	}
 	b.note(history.Event{Kind: kind, Node: name})
 }
 
 // zones tells the zone of every host by its name.
-func (b *breaker) zones() func(host string) string {
+func (b *faultInjector) zoneLookup() func(host string) string {
 	return func(host string) string {
-		if zone := b.d.zone(host); zone != "" {
+		if zone := b.deployment.zone(host); zone != "" {
 			return zone
 		}
 		return b.world.ZoneOf(host)
@@ -179,10 +179,10 @@
 }
 
 // cut sets or clears one cut among those that may hold.
-func (b *breaker) cut(name string, yes bool, which func(from, to string) bool) {
+func (b *faultInjector) setCut(name string, active bool, separates func(from, to string) bool) {
 	delete(b.cuts, name)
-	if yes {
-		b.cuts[name] = which
+	if active {
+		b.cuts[name] = separates
 	}
 	all := make([]func(from, to string) bool, 0, len(b.cuts))
 	for _, c := range b.cuts {
@@ -194,7 +194,7 @@
 }
 
 // host is the host that an address on pipes belongs to, and the role it is reached in.
-func host(addr string) (role, name string) {
+func splitAddress(addr string) (role, name string) {
 	addr = strings.TrimSuffix(addr, ":1")
 	for _, role := range []string{"front", "inner", "worker", "state"} {
 		if name, ok := strings.CutPrefix(addr, role+"-"); ok {
@@ -206,9 +206,9 @@
 
 // cutNode cuts a controller from its workers, its siblings, these and the state service, or
 // all but the users.
-func cutNode(node, what string) func(from, to string) bool {
+func nodeCut(node, what string) func(from, to string) bool {
 	return func(from, to string) bool {
-		role, name := host(to)
+		role, name := splitAddress(to)
 		isWorker := role == "worker" || strings.HasPrefix(from, "host-")
 		switch {
 		case from != node && name != node || role == "state" && from != node:
@@ -226,13 +226,13 @@
 
 // cutZone cuts what is in a zone from all that is not: the services and the users belong
 // to none.
-func cutZone(zone string, zoneOf func(host string) string) func(from, to string) bool {
+func zoneCut(zone string, zoneOf func(host string) string) func(from, to string) bool {
 	return func(from, to string) bool {
-		_, name := host(to)
-		there := ""
-		if role, _ := host(to); role != "state" && name != "" {
-			there = zoneOf(name)
+		_, name := splitAddress(to)
+		toZone := ""
+		if role, _ := splitAddress(to); role != "state" && name != "" {
+			toZone = zoneOf(name)
 		}
-		return (zoneOf(from) == zone) != (there == zone)
+		return (zoneOf(from) == zone) != (toZone == zone)
 	}
 }
--- a/internal/lab/faults_begin.go
+++ b/internal/lab/faults_begin.go
@@ -10,19 +10,19 @@
 )
 
 // begin has a fault happen; after runs something later on the same goroutine.
-func (b *breaker) begin(f Fault, after func(time.Duration, func())) {
+func (b *faultInjector) inject(f Fault, after func(time.Duration, func())) {
 	b.note(history.Event{Kind: history.FaultBegins, Cause: f.String()})
-	lasts, _ := time.ParseDuration(f.Args[0])
-	run := &faultRun{
-		breaker: b,
-		fault:   f,
-		after:   after,
-		lasts:   lasts,
+	duration, _ := time.ParseDuration(f.Args[0])
+	active := &activeFault{
+		faultInjector: b,
+		fault:         f,
+		after:         after,
+		duration:      duration,
 		// A crash of all ends with the first that is started, at the same moment as the others.
-		over: sync.OnceFunc(func() { b.note(history.Event{Kind: history.FaultEnds, Cause: f.String()}) }),
+		markEnded: sync.OnceFunc(func() { b.note(history.Event{Kind: history.FaultEnds, Cause: f.String()}) }),
 	}
-	for _, begins := range []func() bool{run.stateService, run.cloud, run.controllers, run.messages, run.machines, run.users} {
-		if begins() {
+	for _, begin := range []func() bool{active.beginStateFault, active.beginCloudFault, active.beginControllerFault, active.beginMessageFault, active.beginMachineFault, active.beginUserFault} {
+		if begin() {
 			return
 		}
 	}
@@ -30,58 +30,58 @@
 
 // faultRun is a fault that happens. Its methods that are named after what fails begin the faults of
 // that and tell whether it is one of these.
-type faultRun struct {
-	*breaker
-	fault Fault
-	after func(time.Duration, func())
-	lasts time.Duration
-	over  func()
+type activeFault struct {
+	*faultInjector
+	fault     Fault
+	after     func(time.Duration, func())
+	duration  time.Duration
+	markEnded func()
 }
 
 // during sets something for as long as any fault of this name lasts.
-func (r *faultRun) during(name string, set func(on bool)) {
-	if r.depth[name]++; r.depth[name] == 1 {
+func (r *activeFault) whileActive(name string, set func(active bool)) {
+	if r.active[name]++; r.active[name] == 1 {
 		set(true)
 	}
-	r.after(r.lasts, func() {
-		if r.depth[name]--; r.depth[name] == 0 {
+	r.after(r.duration, func() {
+		if r.active[name]--; r.active[name] == 0 {
 			set(false)
 		}
-		r.over()
+		r.markEnded()
 	})
 }
 
 // number is an argument that is a share, a factor or a count.
-func (r *faultRun) number(n int) float64 {
+func (r *activeFault) floatArg(n int) float64 {
 	v, _ := strconv.ParseFloat(r.fault.Args[n], 64)
 	return v
 }
 
 // duration is an argument that is a time.
-func (r *faultRun) duration(n int) time.Duration {
+func (r *activeFault) durationArg(n int) time.Duration {
 	v, _ := time.ParseDuration(r.fault.Args[n])
 	return v
 }
 
-func (r *faultRun) stateService() bool {
+func (r *activeFault) beginStateFault() bool {
 	state := r.world.State
-	switch verb := r.fault.Verb; verb {
+	switch verb := r.fault.Kind; verb {
 	case "state-outage":
-		r.during(verb, state.Outage)
+		r.whileActive(verb, state.Outage)
 	case "state-refuses":
 		node := r.fault.Args[1]
-		r.during(verb+node, func(yes bool) { state.Refuse(node, yes) })
+		r.whileActive(verb+node, func(active bool) { state.Refuse(node, active) })
 	case "state-slow":
-		r.during(verb, func(yes bool) { state.Slow(on(yes, r.duration(1))) })
+		r.whileActive(verb, func(active bool) { state.Slow(valueIf(active, r.durationArg(1))) })
 	case "state-late":
-		r.during(verb, func(yes bool) { state.Late(on(yes, r.duration(1))) })
+		r.whileActive(verb, func(active bool) { state.Late(valueIf(active, r.durationArg(1))) })
 	case "state-unheard":
-		r.during(verb, func(yes bool) { state.Unheard(on(yes, r.number(1))) })
+		r.whileActive(verb, func(active bool) { state.Unheard(valueIf(active, r.floatArg(1))) })
 	case "state-lags":
 		node := r.fault.Args[1]
-		r.during(verb+node, func(yes bool) { state.Lag(node, on(yes, r.duration(2))) })
+		r.whileActive(verb+node, func(active bool) { state.Lag(node, valueIf(active, r.durationArg(2))) })
 	case "state-writes":
-		r.during(verb, r.limitWrites)
+		r.whileActive(verb, r.limitWrites)
 	default:
 		return false
 	}
@@ -89,33 +89,33 @@
 }
 
 // limitWrites has the state service's rate of changes fall to a share.
-func (r *faultRun) limitWrites(yes bool) {
-	limits := r.d.State
-	if yes {
-		limits.WriteRPS = max(1, limits.WriteRPS*r.number(1))
+func (r *activeFault) limitWrites(active bool) {
+	limits := r.deployment.State
+	if active {
+		limits.WriteRPS = max(1, limits.WriteRPS*r.floatArg(1))
 	}
 	r.world.State.Limit(limits)
 }
 
-func (r *faultRun) cloud() bool {
-	switch verb := r.fault.Verb; verb {
+func (r *activeFault) beginCloudFault() bool {
+	switch verb := r.fault.Kind; verb {
 	case "cloud-outage":
-		r.during(verb, r.world.CloudOutage)
+		r.whileActive(verb, r.world.CloudOutage)
 	case "cloud-late":
-		r.during(verb, func(yes bool) { r.world.CloudLate(on(yes, r.duration(1))) })
+		r.whileActive(verb, func(active bool) { r.world.CloudLate(valueIf(active, r.durationArg(1))) })
 	case "capacity":
-		r.during(verb, func(yes bool) {
+		r.whileActive(verb, func(active bool) {
 			share := 1.0
-			if yes {
-				share = r.number(1)
+			if active {
+				share = r.floatArg(1)
 			}
-			r.world.Capacity(int(float64(r.d.Machines) * share))
+			r.world.Capacity(int(float64(r.deployment.Machines) * share))
 		})
 	case "boots":
-		r.during(verb, func(yes bool) {
+		r.whileActive(verb, func(active bool) {
 			factor := 1.0
-			if yes {
-				factor = r.number(1)
+			if active {
+				factor = r.floatArg(1)
 			}
 			r.world.Boots(factor)
 		})
@@ -125,20 +125,20 @@
 	return true
 }
 
-func (r *faultRun) controllers() bool {
-	switch verb := r.fault.Verb; verb {
+func (r *activeFault) beginControllerFault() bool {
+	switch verb := r.fault.Kind; verb {
 	case "crash":
 		names := []string{r.fault.Args[1]}
 		if r.fault.Args[1] == "all" {
-			names = r.d.Controllers
+			names = r.deployment.Controllers
 		}
 		for _, name := range names {
-			r.during("crash "+name, func(yes bool) { r.crash(name, yes) })
+			r.whileActive("crash "+name, func(active bool) { r.setCrashed(name, active) })
 		}
 	case "hangs":
 		node := r.fault.Args[1]
-		r.during(verb+node, func(yes bool) {
-			if err := r.hosts.hang(node, yes); err != nil && yes {
+		r.whileActive(verb+node, func(active bool) {
+			if err := r.launcher.hang(node, active); err != nil && active {
 				r.fail(err)
 			}
 		})
@@ -149,37 +149,37 @@
 }
 
 // messages begins faults of what is sent: cuts, copies, and what is held up.
-func (r *faultRun) messages() bool {
+func (r *activeFault) beginMessageFault() bool {
 	name := r.fault.String()
-	switch verb := r.fault.Verb; verb {
+	switch verb := r.fault.Kind; verb {
 	case "late-commands":
-		r.during(verb, func(yes bool) { r.world.HoldCommands(on(yes, r.number(1))) })
+		r.whileActive(verb, func(active bool) { r.world.HoldCommands(valueIf(active, r.floatArg(1))) })
 	case "kept-reports":
-		r.during(verb, r.world.KeepReports)
+		r.whileActive(verb, r.world.KeepReports)
 	case "echoes":
-		r.during(verb, func(yes bool) { r.world.Echo(on(yes, r.duration(1))) })
+		r.whileActive(verb, func(active bool) { r.world.Echo(valueIf(active, r.durationArg(1))) })
 	case "cut":
-		r.during(name, func(yes bool) { r.cut(name, yes, cutNode(r.fault.Args[1], r.fault.Args[2])) })
+		r.whileActive(name, func(active bool) { r.setCut(name, active, nodeCut(r.fault.Args[1], r.fault.Args[2])) })
 	case "cut-zone":
-		zones := r.zones()
-		r.during(name, func(yes bool) { r.cut(name, yes, cutZone(r.fault.Args[1], zones)) })
+		zones := r.zoneLookup()
+		r.whileActive(name, func(active bool) { r.setCut(name, active, zoneCut(r.fault.Args[1], zones)) })
 	default:
 		return false
 	}
 	return true
 }
 
-func (r *faultRun) machines() bool {
-	switch r.fault.Verb {
+func (r *activeFault) beginMachineFault() bool {
+	switch r.fault.Kind {
 	case "machines":
 		trouble := r.fault.Args[0]
 		count, _ := strconv.Atoi(r.fault.Args[1])
-		struck := r.world.StrikeSome(count, troubles[trouble], func(string, bool) bool { return true })
-		if len(r.fault.Args) < 3 || ends[trouble] == "" {
-			r.over()
+		struck := r.world.StrikeSome(count, machineTroubles[trouble], func(string, bool) bool { return true })
+		if len(r.fault.Args) < 3 || troubleEnds[trouble] == "" {
+			r.markEnded()
 			break
 		}
-		r.endsAfter(r.duration(2), struck, ends[trouble])
+		r.endTroubleAfter(r.durationArg(2), struck, troubleEnds[trouble])
 	case "spot-wave":
 		r.spotWave()
 	default:
@@ -189,17 +189,17 @@
 }
 
 // endsAfter ends a trouble of machines, those that are not gone meanwhile, and the fault with it.
-func (r *faultRun) endsAfter(lasts time.Duration, ids []string, end emulator.Trouble) {
-	r.after(lasts, func() {
+func (r *activeFault) endTroubleAfter(delay time.Duration, ids []string, end emulator.Trouble) {
+	r.after(delay, func() {
 		for _, id := range ids {
 			r.world.Strike(id, end)
 		}
-		r.over()
+		r.markEnded()
 	})
 }
 
 // spotWave has a share of the spot machines leave at once.
-func (r *faultRun) spotWave() {
+func (r *activeFault) spotWave() {
 	spot := 0
 	r.world.StrikeSome(1<<20, "", func(_ string, isSpot bool) bool {
 		if isSpot {
@@ -207,21 +207,21 @@
 		}
 		return false
 	})
-	r.world.StrikeSome(int(r.number(0)*float64(spot)+0.5), emulator.Leaves, func(_ string, isSpot bool) bool { return isSpot })
-	r.over()
+	r.world.StrikeSome(int(r.floatArg(0)*float64(spot)+0.5), emulator.Leaves, func(_ string, isSpot bool) bool { return isSpot })
+	r.markEnded()
 }
 
-func (r *faultRun) users() bool {
-	if r.fault.Verb != "cancel-now" {
+func (r *activeFault) beginUserFault() bool {
+	if r.fault.Kind != "cancel-now" {
 		return false
 	}
 	count, _ := strconv.Atoi(r.fault.Args[0])
 	hangs := len(r.fault.Args) > 1
 	hung := r.cancelNow(count, hangs, r.after)
 	if !hangs {
-		r.over()
+		r.markEnded()
 		return true
 	}
-	r.endsAfter(r.duration(1), hung, emulator.Resumes)
+	r.endTroubleAfter(r.durationArg(1), hung, emulator.Resumes)
 	return true
 }
--- a/internal/lab/door.go
+++ b/internal/lab/gateway.go
@@ -24,7 +24,7 @@
 // door is the front door of a deployment on this machine. It passes requests on to the
 // nodes through the load balancer, and keeps the descriptions of jobs, which users upload
 // for the workers. What it keeps survives a restart.
-type door struct {
+type gateway struct {
 	world   *emulator.World
 	queues  pbs.Queues
 	uploads chan upload
@@ -33,23 +33,23 @@
 
 // upload is a job's description, on its way to the file; kept tells how that ended.
 type upload struct {
-	spec *protocol.JobSpec
-	kept chan error
+	spec   *protocol.JobSpec
+	result chan error
 }
 
 const uploadsFile = "uploads.jsonl"
 
 // newDoor opens a door whose uploads are kept in a directory, until ctx ends.
-func newDoor(ctx context.Context, w *emulator.World, b *emulator.Balancer, dir string, queues pbs.Queues) (*door, error) {
+func newGateway(ctx context.Context, w *emulator.World, b *emulator.Balancer, dir string, queues pbs.Queues) (*gateway, error) {
 	name := filepath.Join(dir, uploadsFile)
 	specs, whole, err := readUploads(name)
 	if err != nil {
 		return nil, err
 	}
-	known := map[string]bool{}
+	recorded := map[string]bool{}
 	for _, s := range specs {
-		w.Upload(s, estimated(s), false)
-		known[s.ID] = true
+		w.Upload(s, estimatedRunTime(s), false)
+		recorded[s.ID] = true
 	}
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY, 0o600)
 	if err == nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("uploads: %w", err)
 	}
-	d := &door{world: w, queues: queues, uploads: make(chan upload)}
+	d := &gateway{world: w, queues: queues, uploads: make(chan upload)}
 	d.proxy = &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.Out.URL.Scheme, r.Out.URL.Host = "http", "daledyke"
@@ -79,11 +79,11 @@
 			select {
 			case u := <-d.uploads:
 				var err error
-				if !known[u.spec.ID] { // users send a job again until it is answered
-					err = keepUpload(f, u.spec)
-					known[u.spec.ID] = err == nil
+				if !recorded[u.spec.ID] { // users send a job again until it is answered
+					err = appendUpload(f, u.spec)
+					recorded[u.spec.ID] = err == nil
 				}
-				u.kept <- err
+				u.result <- err
 			case <-ctx.Done():
 				return
 			}
@@ -92,7 +92,7 @@
 	return d, nil
 }
 
-func keepUpload(f *os.File, s *protocol.JobSpec) error {
+func appendUpload(f *os.File, s *protocol.JobSpec) error {
 	raw, err := json.Marshal(s)
 	if err == nil {
 		_, err = f.Write(append(raw, '\n'))
@@ -131,7 +131,7 @@
 
 // estimated has a job's tasks run as long as its owner says; services run until they are
 // stopped.
-func estimated(s *protocol.JobSpec) func(int) time.Duration {
+func estimatedRunTime(s *protocol.JobSpec) func(int) time.Duration {
 	run := max(s.Estimate(), time.Second)
 	if s.Shape == protocol.Service {
 		run = 0
@@ -139,7 +139,7 @@
 	return func(int) time.Duration { return run }
 }
 
-func (d *door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost && (r.URL.Path == "/v1/jobs" || r.URL.Path == "/pbs/jobs") {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 		if err != nil {
@@ -147,11 +147,11 @@
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if s := d.describe(r, body); s != nil {
+		if s := d.parseSubmission(r, body); s != nil {
 			u := upload{s, make(chan error, 1)}
 			select {
 			case d.uploads <- u:
-				err = <-u.kept
+				err = <-u.result
 			case <-r.Context().Done():
 				return
 			}
@@ -160,7 +160,7 @@
 				http.Error(w, `{"error":"the description is not kept"}`, http.StatusServiceUnavailable)
 				return
 			}
-			d.world.Upload(s, estimated(s), false)
+			d.world.Upload(s, estimatedRunTime(s), false)
 		}
 	}
 	d.proxy.ServeHTTP(w, r)
@@ -168,7 +168,7 @@
 
 // describe is the job that a submission is for, nil if it is senseless: the controllers
 // say so.
-func (d *door) describe(r *http.Request, body []byte) *protocol.JobSpec {
+func (d *gateway) parseSubmission(r *http.Request, body []byte) *protocol.JobSpec {
 	if r.URL.Path == "/v1/jobs" {
 		s, err := protocol.ParseJob(body)
 		if err != nil {
--- a/internal/lab/hosts.go
+++ b/internal/lab/hosts.go
@@ -21,7 +21,7 @@
 )
 
 // hosts run the controllers of a deployment, so that each can be killed and started.
-type hosts interface {
+type launcher interface {
 	start(name string) error
 	kill(name string) error
 	// hang stops a controller's execution, or lets it go on.
@@ -31,65 +31,67 @@
 }
 
 // inside runs controllers in this process, over pipes.
-type inside struct {
-	net   *emulator.Pipes
-	files map[string]string // settings
-	own   string            // the operators' settings, "" for none
-	ends  map[string]func()
+type inProcessLauncher struct {
+	net              *emulator.Pipes
+	files            map[string]string // settings
+	operatorSettings string            // the operators' settings, "" for none
+	stops            map[string]func()
 }
 
-func (h *inside) start(name string) error {
-	c, err := config.Load(h.files[name], h.own)
+func (h *inProcessLauncher) start(name string) error {
+	c, err := config.Load(h.files[name], h.operatorSettings)
 	if err != nil {
 		return err
 	}
-	h.ends[name], err = h.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
+	h.stops[name], err = h.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
 		coordination.NewController(ctx, c, h.net.Dialer(name)).Serve(ctx, front, inner, c.Connections())
 	})
 	return err
 }
 
-func (h *inside) kill(name string) error {
-	if end := h.ends[name]; end != nil {
+func (h *inProcessLauncher) kill(name string) error {
+	if end := h.stops[name]; end != nil {
 		end()
-		delete(h.ends, name)
+		delete(h.stops, name)
 	}
 	return nil
 }
 
-func (h *inside) hang(string, bool) error { return errors.New("controllers hang in real time alone") }
+func (h *inProcessLauncher) hang(string, bool) error {
+	return errors.New("controllers hang in real time alone")
+}
 
-func (h *inside) stop() {
-	for name := range h.ends {
+func (h *inProcessLauncher) stop() {
+	for name := range h.stops {
 		h.kill(name)
 	}
 }
 
 // processes runs controllers as processes of a program, on loopback.
-type processes struct {
-	program string
-	files   map[string]string
-	own     string
-	logs    string // directory
-	running map[string]*process
+type processLauncher struct {
+	program          string
+	files            map[string]string
+	operatorSettings string
+	logs             string // directory
+	running          map[string]*process
 	// ended is told of controllers that ended by themselves; it may be nil.
-	ended func(name string, err error)
+	exited func(name string, err error)
 }
 
 // process is a controller that runs.
 type process struct {
 	cmd    *exec.Cmd
 	killed chan struct{} // closed before it is killed
-	over   chan struct{}
+	done   chan struct{}
 }
 
-func (h *processes) start(name string) error {
+func (h *processLauncher) start(name string) error {
 	args := []string{"--config", h.files[name]}
-	if h.own != "" {
-		args = append(args, "--settings", h.own)
+	if h.operatorSettings != "" {
+		args = append(args, "--settings", h.operatorSettings)
 	}
-	said := filepath.Join(h.logs, name+".log")
-	log, err := os.OpenFile(said, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logName := filepath.Join(h.logs, name+".log")
+	log, err := os.OpenFile(logName, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -101,24 +103,24 @@
 		log.Close()
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	p := &process{cmd: cmd, killed: make(chan struct{}), over: make(chan struct{})}
+	p := &process{cmd: cmd, killed: make(chan struct{}), done: make(chan struct{})}
 	h.running[name] = p
 	go func() {
 		cmd.Wait()
 		log.Close()
-		close(p.over)
+		close(p.done)
 		select {
 		case <-p.killed:
 		default:
-			if h.ended != nil {
-				h.ended(name, fmt.Errorf("%v: %s", cmd.ProcessState, tail(said)))
+			if h.exited != nil {
+				h.exited(name, fmt.Errorf("%v: %s", cmd.ProcessState, logTail(logName)))
 			}
 		}
 	}()
 	return nil
 }
 
-func (h *processes) kill(name string) error {
+func (h *processLauncher) kill(name string) error {
 	p := h.running[name]
 	if p == nil {
 		return nil
@@ -126,11 +128,11 @@
 	delete(h.running, name)
 	close(p.killed)
 	p.cmd.Process.Kill()
-	<-p.over
+	<-p.done
 	return nil
 }
 
-func (h *processes) hang(name string, on bool) error {
+func (h *processLauncher) hang(name string, on bool) error {
 	p := h.running[name]
 	if p == nil {
 		return fmt.Errorf("%s does not run", name)
@@ -142,7 +144,7 @@
 	return p.cmd.Process.Signal(signal)
 }
 
-func (h *processes) stop() {
+func (h *processLauncher) stop() {
 	for name := range h.running {
 		h.kill(name)
 	}
@@ -172,7 +174,7 @@
 }
 
 // onLoopback gives all controllers doors on loopback.
-func (d *Deployment) onLoopback(a *Addresses) error {
+func (d *Deployment) assignLoopback(a *Addresses) error {
 	ports, err := freePorts(2 * len(d.Controllers))
 	if err != nil {
 		return err
@@ -185,7 +187,7 @@
 }
 
 // onPipes gives all controllers doors on pipes.
-func (d *Deployment) onPipes(a *Addresses) {
+func (d *Deployment) assignPipes(a *Addresses) {
 	a.Front, a.Inner = map[string]string{}, map[string]string{}
 	for _, name := range d.Controllers {
 		a.Front[name], a.Inner[name] = "front-"+name+":1", "inner-"+name+":1"
@@ -196,14 +198,14 @@
 // controller as a process.
 type Up struct {
 	// Door is the front door's address, that of the load balancer.
-	Door      string
-	Addresses Addresses
-	Files     map[string]string
-	World     *emulator.World
-	balancer  *emulator.Balancer
-	hosts     *processes
-	names     []string
-	cancel    context.CancelFunc
+	Address     string
+	Addresses   Addresses
+	Files       map[string]string
+	World       *emulator.World
+	balancer    *emulator.Balancer
+	launcher    *processLauncher
+	controllers []string
+	cancel      context.CancelFunc
 }
 
 // UpOptions say how a deployment is brought up.
@@ -214,31 +216,31 @@
 	Dir  string
 	Keep bool
 	// Door is where the front door listens.
-	Door string
+	Listen string
 	// Ended is told of controllers that ended by themselves.
-	Ended func(name string, err error)
+	Exited func(name string, err error)
 }
 
 // BringUp starts a deployment on loopback.
 func BringUp(ctx context.Context, d Deployment, o UpOptions) (up *Up, err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	up = &Up{cancel: cancel, names: d.Controllers}
+	up = &Up{cancel: cancel, controllers: d.Controllers}
 	defer func() {
 		if err != nil {
 			up.Close()
 		}
 	}()
-	set := d.Setup(1, true)
+	setup := d.Setup(1, true)
 	if o.Keep {
-		set.StateDir = filepath.Join(o.Dir, "state")
+		setup.StateDir = filepath.Join(o.Dir, "state")
 	}
-	if up.World, err = emulator.New(ctx, emulator.Loopback{}, set); err != nil {
+	if up.World, err = emulator.New(ctx, emulator.Loopback{}, setup); err != nil {
 		return up, err
 	}
 	if up.Addresses.Cloud, up.Addresses.State, err = up.World.Serve(); err != nil {
 		return up, err
 	}
-	if err = d.onLoopback(&up.Addresses); err != nil {
+	if err = d.assignLoopback(&up.Addresses); err != nil {
 		return up, err
 	}
 	if up.Files, err = d.WriteSettings(o.Dir, up.Addresses); err != nil {
@@ -249,38 +251,38 @@
 		return up, err
 	}
 	up.World.Fronts(up.Addresses.Front)
-	up.hosts = &processes{program: o.Program, files: up.Files, own: o.Settings, logs: o.Dir, running: map[string]*process{}, ended: o.Ended}
+	up.launcher = &processLauncher{program: o.Program, files: up.Files, operatorSettings: o.Settings, logs: o.Dir, running: map[string]*process{}, exited: o.Exited}
 	for _, name := range d.Controllers {
-		if err = up.hosts.start(name); err != nil {
+		if err = up.launcher.start(name); err != nil {
 			return up, err
 		}
 	}
 	up.balancer = emulator.NewBalancer(ctx, transport.NetDialer(), d.Controllers, up.Addresses.Front, 1)
-	door, err := net.Listen("tcp", o.Door)
+	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return up, fmt.Errorf("the front door: %w", err)
 	}
-	up.Door = door.Addr().String()
-	h, err := newDoor(ctx, up.World, up.balancer, o.Dir, c.Queues)
+	up.Address = listener.Addr().String()
+	gw, err := newGateway(ctx, up.World, up.balancer, o.Dir, c.Queues)
 	if err != nil {
-		door.Close()
+		listener.Close()
 		return up, err
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
+	srv := &http.Server{Handler: gw, ReadHeaderTimeout: time.Minute}
 	context.AfterFunc(ctx, func() { srv.Close() })
-	go srv.Serve(door)
+	go srv.Serve(listener)
 	return up, nil
 }
 
 // Ready waits until every controller takes requests.
 func (up *Up) Ready(ctx context.Context) error {
 	for {
-		if len(up.balancer.Healthy()) == len(up.names) {
+		if len(up.balancer.Healthy()) == len(up.controllers) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("of %d controllers %d take requests: %w", len(up.names), len(up.balancer.Healthy()), ctx.Err())
+			return fmt.Errorf("of %d controllers %d take requests: %w", len(up.controllers), len(up.balancer.Healthy()), ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -288,8 +290,8 @@
 
 // Close ends all of it.
 func (up *Up) Close() {
-	if up.hosts != nil {
-		up.hosts.stop()
+	if up.launcher != nil {
+		up.launcher.stop()
 	}
 	if up.World != nil {
 		up.World.End()
--- a/internal/lab/hosts_test.go
+++ b/internal/lab/hosts_test.go
@@ -55,7 +55,7 @@
 	if err := os.WriteFile(program, []byte("#!/bin/sh\necho listen: address already in use >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	h := &processes{program: program, files: map[string]string{"a": "a.toml"}, logs: dir, running: map[string]*process{}, ended: func(_ string, err error) { told <- err }}
+	h := &processLauncher{program: program, files: map[string]string{"a": "a.toml"}, logs: dir, running: map[string]*process{}, exited: func(_ string, err error) { told <- err }}
 	if err := h.start("a"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/hunt.go
+++ b/internal/lab/hunt.go
@@ -21,29 +21,29 @@
 	Runs   int
 	Length time.Duration
 	// Say tells people how it goes.
-	Say func(format string, args ...any)
+	Printf func(format string, args ...any)
 }
 
 // Random is an experiment drawn by chance: a small deployment, some work, and faults that
 // may overlap.
 func Random(seed uint64, length time.Duration) *Experiment {
-	rng := source(seed, "hunt")
+	rng := randomSource(seed, "hunt")
 	e := &Experiment{Name: fmt.Sprintf("hunt-%d", seed), Controllers: 3 + rng.IntN(3), Machines: 8 + rng.IntN(40), Length: length, Rest: 4 * time.Minute,
 		Seeds: []uint64{seed}, Scale: 1}
 	pick := func(kinds ...string) string { return kinds[rng.IntN(len(kinds))] }
 	e.Classes = []Class{
 		{Name: "proof", Teams: []string{pick("desk", "plates")}, Shape: protocol.Service, Priority: "critical", Arrivals: []Arrivals{{Kind: "start", Count: 2 + rng.IntN(6)}},
-			Tasks: Draw{Kind: "uniform", A: 1, B: 5}, Run: Draw{Kind: "const", A: 1}, Cores: 4, RAM: 8, Image: "proof", ImageGB: 2, Scatter: rng.IntN(2) == 0, Cancelled: 0.1},
+			Tasks: Distribution{Kind: "uniform", A: 1, B: 5}, RunTime: Distribution{Kind: "const", A: 1}, Cores: 4, RAM: 8, Image: "proof", ImageGB: 2, Scatter: rng.IntN(2) == 0, Cancelled: 0.1},
 		{Name: "render", Teams: []string{pick("desk", "archive")}, Shape: protocol.Array, Priority: protocol.Priority(pick("normal", "high")),
-			Arrivals: []Arrivals{{Kind: "poisson", Gap: time.Duration(4+rng.IntN(20)) * time.Second}}, Tasks: Draw{Kind: "uniform", A: 1, B: 8},
-			Run: Draw{Kind: "lognormal", A: 25, B: 0.7}, Error: 0.4, Cores: 4, RAM: 12, Image: "render", ImageGB: 4, Spot: rng.IntN(2) == 0,
+			Arrivals: []Arrivals{{Kind: "poisson", Gap: time.Duration(4+rng.IntN(20)) * time.Second}}, Tasks: Distribution{Kind: "uniform", A: 1, B: 8},
+			RunTime: Distribution{Kind: "lognormal", A: 25, B: 0.7}, EstimateError: 0.4, Cores: 4, RAM: 12, Image: "render", ImageGB: 4, Spot: rng.IntN(2) == 0,
 			Cancelled: 0.1, Chained: 0.15, Mistaken: 0.03},
 		{Name: "learn", Teams: []string{"plates"}, Shape: protocol.Gang, Priority: "normal", Arrivals: []Arrivals{{Kind: "poisson", Gap: time.Duration(20+rng.IntN(50)) * time.Second}},
-			Tasks: Draw{Kind: "uniform", A: 2, B: 6}, Run: Draw{Kind: "lognormal", A: 60, B: 0.5}, Error: 0.4, Cores: 8, RAM: 32, Image: "learn", ImageGB: 6,
-			SaveEvery: 20 * time.Second, Save: 3 * time.Second, Spot: true, OneZone: rng.IntN(2) == 0, Cancelled: 0.1},
+			Tasks: Distribution{Kind: "uniform", A: 2, B: 6}, RunTime: Distribution{Kind: "lognormal", A: 60, B: 0.5}, EstimateError: 0.4, Cores: 8, RAM: 32, Image: "learn", ImageGB: 6,
+			CheckpointEvery: 20 * time.Second, CheckpointTime: 3 * time.Second, Spot: true, OneZone: rng.IntN(2) == 0, Cancelled: 0.1},
 	}
 	if rng.IntN(3) == 0 {
-		quays(e, rng)
+		zonedDeployment(e, rng)
 	}
 	d := e.deployment()
 	for range 1 + rng.IntN(6) {
@@ -51,10 +51,10 @@
 	}
 	// Two or three meetings, which may meet each other: rules break where troubles do.
 	for range rng.IntN(4) {
-		met := meeting(rng, &d, length)
-		e.Faults = append(e.Faults, met...)
+		combined := combinedFaults(rng, &d, length)
+		e.Faults = append(e.Faults, combined...)
 		if rng.IntN(4) > 0 {
-			e.Faults = append(e.Faults, cancelledNear(rng, &d, met[0].At))
+			e.Faults = append(e.Faults, cancellationNear(rng, &d, combined[0].At))
 		}
 	}
 	slices.SortFunc(e.Faults, func(a, b Fault) int { return int(a.At - b.At) })
@@ -64,16 +64,16 @@
 // quays makes the deployment one whose controllers stand in one zone and whose machines in
 // four, with small and large types of which one is not had everywhere, and teams that are all
 // limited in one resource.
-func quays(e *Experiment, rng *rand.Rand) {
+func zonedDeployment(e *Experiment, rng *rand.Rand) {
 	zones := []string{"inner", "outer", "north", "mole"}
 	n := float64(e.Machines)
-	e.Own = Own{Zones: zones, Control: zones[:1], CloudRPS: 2, ListLag: 8 * time.Second,
+	e.Overrides = Overrides{Zones: zones, ControlZones: zones[:1], CloudRPS: 2, ListLag: 8 * time.Second,
 		Types: []protocol.MachineType{
 			{Name: "small", Cores: 4, RAM: 16, CacheGB: 50, FetchRate: 0.4, Price: 0.3, SpotPrice: 0.11, BootS: 25},
 			{Name: "mid", Cores: 24, Accels: 2, RAM: 192, CacheGB: 70, FetchRate: 1, Price: 7.5, SpotPrice: 2.7, BootS: 25},
 			{Name: "wide", Cores: 96, Accels: 8, RAM: 384, CacheGB: 100, FetchRate: 1, Price: 26, SpotPrice: 10, BootS: 50, Zones: zones[1:]}},
-		Most:  map[string]int{"small": 2 * e.Machines / 3},
-		Teams: []config.Team{{Name: "desk", Accels: 2, AccelsMax: n}, {Name: "plates", Accels: 4, AccelsMax: 2 * n}, {Name: "archive", Accels: 1, AccelsMax: 4}}}
+		MaxByType: map[string]int{"small": 2 * e.Machines / 3},
+		Teams:     []config.Team{{Name: "desk", Accels: 2, AccelsMax: n}, {Name: "plates", Accels: 4, AccelsMax: 2 * n}, {Name: "archive", Accels: 1, AccelsMax: 4}}}
 	if rng.IntN(2) == 0 { // work that takes what is limited, and some that doesn't
 		e.Classes[2].Accels = 2
 	}
@@ -81,12 +81,12 @@
 
 // cancelledNear has users cancel what runs within some seconds of a time. Some of the machines hang
 // from then on: for less than a lease, about one, or longer than cancelled work may remain.
-func cancelledNear(rng *rand.Rand, d *Deployment, at time.Duration) Fault {
+func cancellationNear(rng *rand.Rand, d *Deployment, at time.Duration) Fault {
 	const spread = 6 * time.Second
 	at += time.Duration(rng.Int64N(int64(2*spread))) - spread/2
 	hang := []time.Duration{0, d.Lease/4 + time.Duration(rng.Int64N(int64(d.Lease/2))), d.Lease - time.Duration(rng.Int64N(int64(3*time.Second))),
 		d.CancelWithin + time.Duration(rng.Int64N(int64(20*time.Second)))}[rng.IntN(4)]
-	f := Fault{At: max(0, at).Round(100 * time.Millisecond), Verb: "cancel-now", Args: []string{fmt.Sprint(2 + rng.IntN(10))}}
+	f := Fault{At: max(0, at).Round(100 * time.Millisecond), Kind: "cancel-now", Args: []string{fmt.Sprint(2 + rng.IntN(10))}}
 	if hang > 0 {
 		f.Args = append(f.Args, hang.Round(100*time.Millisecond).String())
 	}
@@ -95,147 +95,149 @@
 
 // meeting are troubles that come in one moment, of the kinds of which each alone does no harm:
 // who hears of something, who may act and who is told are then not the same.
-func meeting(rng *rand.Rand, d *Deployment, length time.Duration) []Fault {
-	begin := time.Duration(rng.Int64N(int64(length * 7 / 10)))
+func combinedFaults(rng *rand.Rand, d *Deployment, length time.Duration) []Fault {
+	at := time.Duration(rng.Int64N(int64(length * 7 / 10)))
 	node, other := d.Controllers[rng.IntN(len(d.Controllers))], d.Controllers[rng.IntN(len(d.Controllers))]
 	// after is a moment up to so long after another; lasts a length about as long as one given.
-	after := func(most time.Duration) time.Duration {
-		begin += time.Duration(rng.Int64N(int64(most)))
-		return begin.Round(100 * time.Millisecond)
+	nextTime := func(maxDelay time.Duration) time.Duration {
+		at += time.Duration(rng.Int64N(int64(maxDelay)))
+		return at.Round(100 * time.Millisecond)
 	}
 	lasts := func(about time.Duration) string {
 		return (about/2 + time.Duration(rng.Int64N(int64(about)))).Round(100 * time.Millisecond).String()
 	}
 	crash := func(name string) Fault {
-		away := []string{"200ms", "700ms", "5s", "20s"}[rng.IntN(4)]
-		return Fault{At: after(4 * time.Second), Verb: "crash", Args: []string{away, name}}
+		downTime := []string{"200ms", "700ms", "5s", "20s"}[rng.IntN(4)]
+		return Fault{At: nextTime(4 * time.Second), Kind: "crash", Args: []string{downTime, name}}
 	}
-	few := fmt.Sprint(2 + rng.IntN(8))
+	count := fmt.Sprint(2 + rng.IntN(8))
 	switch rng.IntN(11) {
 	case 0: // the state service refuses one alone and then is away for all, and somebody may end
-		all := []Fault{{At: after(time.Second), Verb: "state-refuses", Args: []string{lasts(d.Lease / 2), node}},
-			{At: after(8 * time.Second), Verb: "state-outage", Args: []string{lasts(d.CancelWithin * 3 / 2)}}}
+		all := []Fault{{At: nextTime(time.Second), Kind: "state-refuses", Args: []string{lasts(d.Lease / 2), node}},
+			{At: nextTime(8 * time.Second), Kind: "state-outage", Args: []string{lasts(d.CancelWithin * 3 / 2)}}}
 		if rng.IntN(2) == 0 {
 			all = append(all, crash(other))
 		}
 		return all
 	case 1: // one has its workers and users alone, and another ends
-		return []Fault{{At: after(time.Second), Verb: "cut", Args: []string{lasts(d.CancelWithin), node, "services"}}, crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "cut", Args: []string{lasts(d.CancelWithin), node, "services"}}, crash(other)}
 	case 2: // machines don't hear, or don't reach, who comes after one that ended
-		return []Fault{{At: after(time.Second), Verb: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], few, lasts(d.Lease)}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, lasts(d.Lease)}}, crash(node), crash(other)}
 	case 3: // the state service is slow before it is away
-		return []Fault{{At: after(time.Second), Verb: "state-slow", Args: []string{lasts(10 * time.Second), lasts(time.Second)}},
-			{At: after(10 * time.Second), Verb: "state-outage", Args: []string{lasts(d.CancelWithin)}}}
+		return []Fault{{At: nextTime(time.Second), Kind: "state-slow", Args: []string{lasts(10 * time.Second), lasts(time.Second)}},
+			{At: nextTime(10 * time.Second), Kind: "state-outage", Args: []string{lasts(d.CancelWithin)}}}
 	case 4: // all end, one returns, and ends again
-		return []Fault{{At: after(time.Second), Verb: "crash", Args: []string{lasts(4 * time.Second), "all"}}, crash(node), crash(node)}
+		return []Fault{{At: nextTime(time.Second), Kind: "crash", Args: []string{lasts(4 * time.Second), "all"}}, crash(node), crash(node)}
 	case 5: // transactions are carried out late while controllers end
-		return []Fault{{At: after(time.Second), Verb: "state-late", Args: []string{lasts(12 * time.Second), lasts(6 * time.Second)}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "state-late", Args: []string{lasts(12 * time.Second), lasts(6 * time.Second)}}, crash(node), crash(other)}
 	case 6: // commands are held up while machines change hands, and some of them don't hear
-		return []Fault{{At: after(time.Second), Verb: "late-commands", Args: []string{lasts(d.Lease * 2), "0.5"}}, crash(node),
-			{At: after(5 * time.Second), Verb: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], few, lasts(d.Lease)}}, crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{lasts(d.Lease * 2), "0.5"}}, crash(node),
+			{At: nextTime(5 * time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, lasts(d.Lease)}}, crash(other)}
 	case 7: // what was done is not heard of, and whoever asked for it ends
-		return []Fault{{At: after(time.Second), Verb: "state-unheard", Args: []string{lasts(20 * time.Second), "0.4"}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "state-unheard", Args: []string{lasts(20 * time.Second), "0.4"}}, crash(node), crash(other)}
 	case 8: // copies of reports are kept, and come as somebody has just begun
-		return []Fault{{At: after(time.Second), Verb: "kept-reports", Args: []string{lasts(d.Lease / 2)}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "kept-reports", Args: []string{lasts(d.Lease / 2)}}, crash(node), crash(other)}
 	case 9: // machines reboot while commands are held up, and who sent these ends
 		reboot := func() Fault {
-			return Fault{At: after(6 * time.Second), Verb: "machines", Args: []string{"reboot", few}}
+			return Fault{At: nextTime(6 * time.Second), Kind: "machines", Args: []string{"reboot", count}}
 		}
-		return []Fault{{At: after(time.Second), Verb: "late-commands", Args: []string{lasts(d.Lease * 2), "0.5"}}, reboot(), crash(node), reboot(), crash(other), reboot()}
+		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{lasts(d.Lease * 2), "0.5"}}, reboot(), crash(node), reboot(), crash(other), reboot()}
 	default: // copies of old reports come to who has just begun
-		return []Fault{{At: after(time.Second), Verb: "echoes", Args: []string{lasts(d.Lease * 2), lasts(d.Lease)}}, crash(node),
-			{At: after(5 * time.Second), Verb: "machines", Args: []string{"reboot", few}}}
+		return []Fault{{At: nextTime(time.Second), Kind: "echoes", Args: []string{lasts(d.Lease * 2), lasts(d.Lease)}}, crash(node),
+			{At: nextTime(5 * time.Second), Kind: "machines", Args: []string{"reboot", count}}}
 	}
 }
 
 func randomFault(rng *rand.Rand, d *Deployment, length time.Duration) Fault {
-	span := func(most time.Duration) string {
+	lasting := func(most time.Duration) string {
 		return (time.Second + time.Duration(rng.Int64N(int64(most)))).Round(100 * time.Millisecond).String()
 	}
-	blink := func() string { // back before anybody missed it
+	briefly := func() string { // back before anybody missed it
 		return (50*time.Millisecond + time.Duration(rng.Int64N(int64(450*time.Millisecond)))).Round(time.Millisecond).String()
 	}
 	node := d.Controllers[rng.IntN(len(d.Controllers))]
 	f := Fault{At: time.Duration(rng.Int64N(int64(length * 9 / 10))).Round(100 * time.Millisecond)}
 	kinds := []func(){
-		func() { f.Verb, f.Args = "state-outage", []string{span(2 * d.Lease)} },
-		func() { f.Verb, f.Args = "state-refuses", []string{span(3 * d.Lease), node} },
-		func() { f.Verb, f.Args = "state-slow", []string{span(time.Minute), span(2 * time.Second)} },
-		func() { f.Verb, f.Args = "state-late", []string{span(30 * time.Second), span(time.Minute)} },
-		func() { f.Verb, f.Args = "state-lags", []string{span(time.Minute), node, span(5 * time.Second)} },
+		func() { f.Kind, f.Args = "state-outage", []string{lasting(2 * d.Lease)} },
+		func() { f.Kind, f.Args = "state-refuses", []string{lasting(3 * d.Lease), node} },
+		func() { f.Kind, f.Args = "state-slow", []string{lasting(time.Minute), lasting(2 * time.Second)} },
+		func() { f.Kind, f.Args = "state-late", []string{lasting(30 * time.Second), lasting(time.Minute)} },
+		func() { f.Kind, f.Args = "state-lags", []string{lasting(time.Minute), node, lasting(5 * time.Second)} },
 		func() {
-			f.Verb, f.Args = "state-writes", []string{span(2 * time.Minute), fmt.Sprintf("%.2f", 0.1+0.4*rng.Float64())}
+			f.Kind, f.Args = "state-writes", []string{lasting(2 * time.Minute), fmt.Sprintf("%.2f", 0.1+0.4*rng.Float64())}
 		},
-		func() { f.Verb, f.Args = "cloud-outage", []string{span(2 * time.Minute)} },
-		func() { f.Verb, f.Args = "cloud-late", []string{span(30 * time.Second), span(time.Minute)} },
+		func() { f.Kind, f.Args = "cloud-outage", []string{lasting(2 * time.Minute)} },
+		func() { f.Kind, f.Args = "cloud-late", []string{lasting(30 * time.Second), lasting(time.Minute)} },
 		func() {
-			f.Verb, f.Args = "capacity", []string{span(2 * time.Minute), fmt.Sprintf("%.2f", rng.Float64())}
+			f.Kind, f.Args = "capacity", []string{lasting(2 * time.Minute), fmt.Sprintf("%.2f", rng.Float64())}
 		},
-		func() { f.Verb, f.Args = "crash", []string{span(time.Minute), node} },
-		func() { f.Verb, f.Args = "crash", []string{span(20 * time.Second), node} },
-		func() { f.Verb, f.Args = "crash", []string{span(30 * time.Second), "all"} },
-		func() { f.Verb, f.Args = "crash", []string{blink(), []string{node, "all"}[rng.IntN(2)]} },
+		func() { f.Kind, f.Args = "crash", []string{lasting(time.Minute), node} },
+		func() { f.Kind, f.Args = "crash", []string{lasting(20 * time.Second), node} },
+		func() { f.Kind, f.Args = "crash", []string{lasting(30 * time.Second), "all"} },
+		func() { f.Kind, f.Args = "crash", []string{briefly(), []string{node, "all"}[rng.IntN(2)]} },
 		func() {
-			f.Verb, f.Args = "cut", []string{span(2 * time.Minute), node, []string{"workers", "siblings", "services", "all"}[rng.IntN(4)]}
+			f.Kind, f.Args = "cut", []string{lasting(2 * time.Minute), node, []string{"workers", "siblings", "services", "all"}[rng.IntN(4)]}
 		},
 		func() {
-			f.Verb, f.Args = "cut", []string{span(2 * time.Minute), node, "services"}
+			f.Kind, f.Args = "cut", []string{lasting(2 * time.Minute), node, "services"}
 		},
-		func() { f.Verb, f.Args = "echoes", []string{span(2 * time.Minute), span(3 * d.Lease)} },
+		func() { f.Kind, f.Args = "echoes", []string{lasting(2 * time.Minute), lasting(3 * d.Lease)} },
 		func() {
-			f.Verb, f.Args = "machines", []string{[]string{"deafen", "hold", "mute"}[rng.IntN(3)], fmt.Sprint(1 + rng.IntN(10)), span(3 * d.Lease)}
+			f.Kind, f.Args = "machines", []string{[]string{"deafen", "hold", "mute"}[rng.IntN(3)], fmt.Sprint(1 + rng.IntN(10)), lasting(3 * d.Lease)}
 		},
-		func() { f.Verb, f.Args = "machines", []string{"reboot", fmt.Sprint(1 + rng.IntN(6))} },
-		func() { f.Verb, f.Args = "cut-zone", []string{span(2 * time.Minute), d.Zones[rng.IntN(len(d.Zones))]} },
+		func() { f.Kind, f.Args = "machines", []string{"reboot", fmt.Sprint(1 + rng.IntN(6))} },
 		func() {
-			f.Verb, f.Args = "machines", []string{[]string{"die", "sicken", "slow", "leave", "taken"}[rng.IntN(5)], fmt.Sprint(1 + rng.IntN(4))}
+			f.Kind, f.Args = "cut-zone", []string{lasting(2 * time.Minute), d.Zones[rng.IntN(len(d.Zones))]}
 		},
 		func() {
-			f.Verb, f.Args = "machines", []string{"hang", fmt.Sprint(1 + rng.IntN(4)), span(2 * d.Lease)}
+			f.Kind, f.Args = "machines", []string{[]string{"die", "sicken", "slow", "leave", "taken"}[rng.IntN(5)], fmt.Sprint(1 + rng.IntN(4))}
 		},
-		func() { f.Verb, f.Args = "spot-wave", []string{fmt.Sprintf("%.2f", 0.2+0.8*rng.Float64())} },
+		func() {
+			f.Kind, f.Args = "machines", []string{"hang", fmt.Sprint(1 + rng.IntN(4)), lasting(2 * d.Lease)}
+		},
+		func() { f.Kind, f.Args = "spot-wave", []string{fmt.Sprintf("%.2f", 0.2+0.8*rng.Float64())} },
 	}
 	kinds[rng.IntN(len(kinds))]()
 	return f
 }
 
 // Smaller are the experiments next smaller than one, the ones that take most away first.
-func Smaller(e *Experiment) (all []*Experiment) {
-	try := func(change func(*Experiment)) {
+func Reductions(e *Experiment) (all []*Experiment) {
+	add := func(change func(*Experiment)) {
 		c := *e
 		c.Faults, c.Classes = slices.Clone(e.Faults), slices.Clone(e.Classes)
 		change(&c)
-		if c.check() == nil {
+		if c.validate() == nil {
 			all = append(all, &c)
 		}
 	}
 	if n := len(e.Faults); n > 2 {
-		try(func(c *Experiment) { c.Faults = c.Faults[:n/2] })
-		try(func(c *Experiment) { c.Faults = c.Faults[n/2:] })
+		add(func(c *Experiment) { c.Faults = c.Faults[:n/2] })
+		add(func(c *Experiment) { c.Faults = c.Faults[n/2:] })
 	}
 	for i := range e.Faults {
-		try(func(c *Experiment) { c.Faults = slices.Delete(c.Faults, i, i+1) })
+		add(func(c *Experiment) { c.Faults = slices.Delete(c.Faults, i, i+1) })
 	}
 	if len(e.Classes) > 1 {
 		for i := range e.Classes {
-			try(func(c *Experiment) { c.Classes = slices.Delete(c.Classes, i, i+1) })
+			add(func(c *Experiment) { c.Classes = slices.Delete(c.Classes, i, i+1) })
 		}
 	}
 	if e.Length >= time.Minute {
-		try(func(c *Experiment) {
+		add(func(c *Experiment) {
 			c.Length = (c.Length / 2).Round(time.Second)
 			c.Faults = slices.DeleteFunc(c.Faults, func(f Fault) bool { return f.At >= c.Length })
 		})
 	}
 	if e.Scale > 0.05 {
-		try(func(c *Experiment) { c.Scale /= 2 })
+		add(func(c *Experiment) { c.Scale /= 2 })
 	}
 	if e.Machines > 3 {
-		try(func(c *Experiment) { c.Machines = c.Machines * 2 / 3 })
+		add(func(c *Experiment) { c.Machines = c.Machines * 2 / 3 })
 	}
 	for i, c := range e.Classes {
 		if c.Cancelled+c.Chained+c.Mistaken > 0 {
-			try(func(x *Experiment) {
+			add(func(x *Experiment) {
 				x.Classes[i].Cancelled, x.Classes[i].Chained, x.Classes[i].Mistaken = 0, 0, 0
 			})
 		}
@@ -248,7 +250,7 @@
 func Shrink(e *Experiment, tries int, breaks func(*Experiment) (bool, error)) (*Experiment, error) {
 	for again := true; again; {
 		again = false
-		for _, smaller := range Smaller(e) {
+		for _, smaller := range Reductions(e) {
 			if tries--; tries < 0 {
 				return e, nil
 			}
@@ -269,7 +271,7 @@
 const shrinkTries = 60
 
 // Found is an experiment that breaks a rule.
-type Found struct {
+type Finding struct {
 	Experiment *Experiment
 	Broken     []history.Violation
 	File       string
@@ -278,53 +280,53 @@
 // Hunt plays random experiments, every other one a variation of those in which the tasks of a
 // cancelled job remained longest, and makes each that breaks a rule smaller. What is found is saved
 // as files in the runner's directory.
-func Hunt(ctx context.Context, r *Runner, o HuntOptions) (found []Found, err error) {
+func Hunt(ctx context.Context, r *Runner, o HuntOptions) (found []Finding, err error) {
 	dir := r.Dir
-	var near closest
+	var misses nearMisses
 	for n := range o.Runs {
 		seed := o.Seed*1_000_003 + uint64(n)
 		e := Random(seed, o.Length)
-		if like := near.draw(source(seed, "like")); like != nil && n%2 == 1 {
-			e = Mutated(like, seed)
+		if base := misses.pick(randomSource(seed, "like")); base != nil && n%2 == 1 {
+			e = Mutate(base, seed)
 		}
-		broken, share, err := r.breaks(ctx, e, filepath.Join(dir, e.Name))
+		broken, share, err := r.findViolations(ctx, e, filepath.Join(dir, e.Name))
 		if err != nil {
 			return found, err
 		}
 		if len(broken) == 0 {
-			near.add(e, share)
-			o.Say("%s: sound, cancelled work gone within %.2f of its time (%d controllers, %d machines; %s)", e.Name, share, e.Controllers, e.Machines, faultList(e))
+			misses.add(e, share)
+			o.Printf("%s: sound, cancelled work gone within %.2f of its time (%d controllers, %d machines; %s)", e.Name, share, e.Controllers, e.Machines, faultList(e))
 			if err := os.RemoveAll(filepath.Join(dir, e.Name)); err != nil {
 				return found, err
 			}
 			continue
 		}
-		o.Say("%s: BROKEN: %v (%s)", e.Name, broken[0], faultList(e))
+		o.Printf("%s: BROKEN: %v (%s)", e.Name, broken[0], faultList(e))
 		rule, tried := broken[0].Rule, 0
 		last := broken
 		small, err := Shrink(e, shrinkTries, func(c *Experiment) (bool, error) {
 			tried++
 			at := filepath.Join(dir, fmt.Sprintf("%s-try%d", e.Name, tried))
 			defer os.RemoveAll(at)
-			now, _, err := r.breaks(ctx, c, at)
+			now, _, err := r.findViolations(ctx, c, at)
 			still := slices.ContainsFunc(now, func(v history.Violation) bool { return v.Rule == rule })
 			if still {
 				last = now
 			}
 			return still, err
 		})
-		f := Found{Experiment: small, Broken: last, File: filepath.Join(dir, e.Name+".edn")}
+		f := Finding{Experiment: small, Broken: last, File: filepath.Join(dir, e.Name+".edn")}
 		text := fmt.Sprintf("; %s\n; made smaller in %d tries\n%s", f.Broken[0], tried, small)
 		if werr := os.WriteFile(f.File, []byte(text), 0o600); werr != nil {
 			return found, werr
 		}
 		found = append(found, f)
-		o.Say("saved as %s: %d classes; %s", f.File, len(small.Classes), faultList(small))
+		o.Printf("saved as %s: %d classes; %s", f.File, len(small.Classes), faultList(small))
 		if err != nil {
 			return found, err
 		}
 	}
-	o.Say("%d experiments, %d of them broke a rule", o.Runs, len(found))
+	o.Printf("%d experiments, %d of them broke a rule", o.Runs, len(found))
 	return found, nil
 }
 
@@ -338,7 +340,7 @@
 
 // breaks plays an experiment; it gives the rules that were broken, and the largest share of the time
 // allowed that the tasks of a cancelled job took to be gone.
-func (r *Runner) breaks(ctx context.Context, e *Experiment, dir string) (broken []history.Violation, share float64, err error) {
+func (r *Runner) findViolations(ctx context.Context, e *Experiment, dir string) (broken []history.Violation, share float64, err error) {
 	one := *r
 	one.Dir, one.Progress = dir, nil
 	res, err := one.Run(ctx, e)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -23,8 +23,8 @@
 // program does, in a process of its own.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	if dir := os.Getenv(playDir); dir != "" {
-		if os.Getenv(playDir+"_FAILS") != "" {
+	if dir := os.Getenv(runDirVariable); dir != "" {
+		if os.Getenv(runDirVariable+"_FAILS") != "" {
 			fmt.Fprintln(os.Stderr, "panic: as it was told")
 			os.Exit(2)
 		}
@@ -33,18 +33,18 @@
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
-		PlayHere(dir, virtual)
+		ExecuteInProcess(dir, virtual)
 	}
 	os.Exit(m.Run())
 }
 
 // playDir, set for a process of this test, is the run that it plays.
-const playDir = "DALEDYKE_TEST_PLAY"
+const runDirVariable = "DALEDYKE_TEST_PLAY"
 
 // here is a command line that has a process of this test play the run named last.
-var here = []string{"/bin/sh", "-c", playDir + `="$1" exec "$0"`, os.Args[0]}
+var commandOfThisTest = []string{"/bin/sh", "-c", runDirVariable + `="$1" exec "$0"`, os.Args[0]}
 
-const small = `(experiment "small"
+const smallExperiment = `(experiment "small"
   (controllers 3) (machines 12) (length "2m") (rest "2m") (seeds 1 2)
   (class "proof" (shape service) (priority critical) (arrivals (start 2)) (tasks 2) (image "proof" 2) (scatter true))
   (class "render" (team "archive") (arrivals (poisson "8s")) (tasks (uniform 1 4)) (run (lognormal 20 0.5)) (error 0.3) (spot true) (cancelled 0.1) (chained 0.2))
@@ -55,7 +55,7 @@
   (at "1m5s" (machines hang 2 "15s"))
   (at "80s" (spot-wave 0.5)))`
 
-const ownDeployment = `(experiment "own" (zones "u" "v") (lease "30s") (report "3s") (state 100 50 4 9) (cloud 5 "2s") (node 0.5 200 900)
+const overridesExperiment = `(experiment "own" (zones "u" "v") (lease "30s") (report "3s") (state 100 50 4 9) (cloud 5 "2s") (node 0.5 200 900)
   (type "little" (cores 8) (ram 32) (fetch 1) (price 1 0.3) (boot 20)) (type "big" (cores 64) (ram 256) (fetch 0.5) (price 7 2) (boot 40) (most 3) (zones "v"))
   (team "us" (cpus 10 64)) (aim wait "render" "20s" 0.9)
   (class "render" (team "us") (arrivals (start 3) (poisson "9s")) (tasks (choice 1 3 4 1)) (images 5) (types "big" "little")))`
@@ -63,12 +63,12 @@
 // An experiment with faults inside each other is played, kept, and made a page of; its
 // events are whole and keep the rules when they are checked again.
 func TestAnExperimentIsPlayed(t *testing.T) {
-	e, err := Parse([]byte(small))
+	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "result")
-	r := &Runner{Dir: dir, Play: here}
+	r := &Runner{Dir: dir, Command: commandOfThisTest}
 	last := 0.0
 	r.Progress = func(share float64) { last = share }
 	res, err := r.Run(t.Context(), e)
@@ -150,7 +150,7 @@
 			t.Fatal(err)
 		}
 		final := map[string]map[int]bool{}
-		sum, err := play(context.Background(), e, "", 5, t.TempDir(), func(ev history.Event) {
+		sum, err := execute(context.Background(), e, "", 5, t.TempDir(), func(ev history.Event) {
 			if ev.Kind == history.Answered && (ev.Code < 300 && ev.Code > 0 || ev.Code == 400 || ev.Code == 422) {
 				if final[ev.Job] == nil {
 					final[ev.Job] = map[int]bool{}
@@ -179,13 +179,13 @@
 
 // A run whose process fails leaves no result, and its last words are told.
 func TestARunThatFails(t *testing.T) {
-	e, err := Parse([]byte(small))
+	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "result")
-	t.Setenv(playDir+"_FAILS", "yes")
-	_, err = (&Runner{Dir: dir, Play: here}).Run(t.Context(), e)
+	t.Setenv(runDirVariable+"_FAILS", "yes")
+	_, err = (&Runner{Dir: dir, Command: commandOfThisTest}).Run(t.Context(), e)
 	if err == nil || !strings.Contains(err.Error(), "as it was told") {
 		t.Errorf("%v", err)
 	}
@@ -196,14 +196,14 @@
 
 // The same seed gives the same jobs, whatever other classes there are.
 func TestOrdersRepeat(t *testing.T) {
-	e, err := Parse([]byte(small))
+	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	of := func(e *Experiment, class string) (s string) {
-		for _, o := range e.orders(7) {
+		for _, o := range e.plannedJobs(7) {
 			if o.spec.Class == class {
-				s += fmt.Sprint(o.at, o.runs, o.spec.Tasks, o.spec.EstimateS, o.cancelAt, ";")
+				s += fmt.Sprint(o.submitAt, o.runTimes, o.spec.Tasks, o.spec.EstimateS, o.cancelAfter, ";")
 			}
 		}
 		return s
@@ -219,7 +219,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		times := a.times(time.Hour, 1, source(1, "x"))
+		times := a.submissionTimes(time.Hour, 1, randomSource(1, "x"))
 		counts[a.Kind] = len(times)
 		if n := len(times); n < 3400 || n > 3800 {
 			t.Errorf("%s: %d in an hour", c, n)
@@ -246,14 +246,14 @@
 			t.Fatalf("seed %d: %v\n%s\n%v", seed, err, e, again)
 		}
 	}
-	again, err := Parse([]byte(ownDeployment))
+	again, err := Parse([]byte(overridesExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if second, err := Parse([]byte(again.String())); err != nil || second.String() != again.String() {
 		t.Errorf("%v\n%s\n%v", err, again, second)
 	}
-	if d := again.deployment(); d.Lease != 30*time.Second || len(d.Types) != 2 || d.Types[0].Zones[1] != "v" || d.Most["big"] != 3 || d.State.TxnOps != 9 || d.Teams[0].CoresMax != 64 {
+	if d := again.deployment(); d.Lease != 30*time.Second || len(d.Types) != 2 || d.Types[0].Zones[1] != "v" || d.MaxByType["big"] != 3 || d.State.TxnOps != 9 || d.Teams[0].CoresMax != 64 {
 		t.Errorf("%+v", d)
 	}
 	ready, err := filepath.Glob("../../deploy/lab/*.edn")
@@ -302,7 +302,7 @@
 
 // FuzzParse: whatever is read is written as it is read.
 func FuzzParse(f *testing.F) {
-	f.Add(small)
+	f.Add(smallExperiment)
 	f.Add(Random(3, time.Minute).String())
 	f.Fuzz(func(t *testing.T, text string) {
 		e, err := Parse([]byte(text))
@@ -320,19 +320,19 @@
 // breaks for one fault and one class, only these are left.
 func TestShrink(t *testing.T) {
 	e := Random(11, 8*time.Minute)
-	e.Faults = append(e.Faults, Fault{At: 100 * time.Second, Verb: "cloud-outage", Args: []string{"7s"}})
+	e.Faults = append(e.Faults, Fault{At: 100 * time.Second, Kind: "cloud-outage", Args: []string{"7s"}})
 	asked := 0
 	got, err := Shrink(e, 200, func(c *Experiment) (bool, error) {
 		asked++
 		there := false
 		for _, f := range c.Faults {
-			there = there || f.Verb == "cloud-outage" && f.Args[0] == "7s"
+			there = there || f.Kind == "cloud-outage" && f.Args[0] == "7s"
 		}
 		learns := false
 		for _, k := range c.Classes {
 			learns = learns || k.Name == "learn"
 		}
-		return there && learns, c.check()
+		return there && learns, c.validate()
 	})
 	if err != nil || len(got.Faults) != 1 || len(got.Classes) != 1 || got.Classes[0].Name != "learn" || got.Length > 4*time.Minute || got.Machines > 3 || got.Scale > 0.1 || asked > 200 {
 		t.Errorf("%v after %d tries: %v", err, asked, got)
@@ -354,14 +354,14 @@
 		t.Fatal(err)
 	}
 	var said []string
-	found, err := Hunt(t.Context(), &Runner{Dir: dir, Play: []string{"/bin/sh", fake}}, HuntOptions{Seed: 1, Runs: 10, Length: 4 * time.Minute,
-		Say: func(format string, args ...any) { said = append(said, fmt.Sprintf(format, args...)) }})
+	found, err := Hunt(t.Context(), &Runner{Dir: dir, Command: []string{"/bin/sh", fake}}, HuntOptions{Seed: 1, Runs: 10, Length: 4 * time.Minute,
+		Printf: func(format string, args ...any) { said = append(said, fmt.Sprintf(format, args...)) }})
 	if err != nil || len(found) == 0 || len(found) == 10 {
 		t.Fatalf("%d found, %v: %v", len(found), err, said)
 	}
 	for _, f := range found {
 		e, err := Load(f.File)
-		if err != nil || len(e.Faults) != 1 || e.Faults[0].Verb != "state-outage" || len(e.Classes) != 1 {
+		if err != nil || len(e.Faults) != 1 || e.Faults[0].Kind != "state-outage" || len(e.Classes) != 1 {
 			t.Errorf("%s: %v %v", f.File, err, e)
 		}
 	}
@@ -378,8 +378,8 @@
 		t.Fatal(err)
 	}
 	faults := map[int][]string{}
-	_, err := Hunt(t.Context(), &Runner{Dir: dir, Play: []string{"/bin/sh", fake}}, HuntOptions{Seed: 4, Runs: 12, Length: 4 * time.Minute,
-		Say: func(format string, args ...any) {
+	_, err := Hunt(t.Context(), &Runner{Dir: dir, Command: []string{"/bin/sh", fake}}, HuntOptions{Seed: 4, Runs: 12, Length: 4 * time.Minute,
+		Printf: func(format string, args ...any) {
 			if len(args) == 5 {
 				faults[len(faults)] = strings.Split(args[4].(string), ", ")
 			}
@@ -409,7 +409,7 @@
 	for seed := range uint64(60) {
 		e := Random(seed%7, 5*time.Minute)
 		was := e.String()
-		m := Mutated(e, 1000+seed)
+		m := Mutate(e, 1000+seed)
 		again, err := Parse([]byte(m.String()))
 		if err != nil || again.String() != m.String() || m.String() == was {
 			t.Fatalf("seed %d: %v\n%s", seed, err, m)
@@ -430,7 +430,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := play(context.Background(), e, "", 1, t.TempDir(), func(history.Event) {}, func(float64) {})
+		s, err := execute(context.Background(), e, "", 1, t.TempDir(), func(history.Event) {}, func(float64) {})
 		if err != nil || len(s.Broken) > 0 {
 			t.Fatal(err, s.Broken)
 		}
@@ -444,7 +444,7 @@
 
 // Intervals are those of Student's t, and a version is compared seed by seed.
 func TestComparison(t *testing.T) {
-	if e := estimate([]float64{4, 6, 8, math.NaN()}); e.Mean != 6 || math.Abs(e.Half-4.968) > 0.01 || e.N != 3 {
+	if e := estimate([]float64{4, 6, 8, math.NaN()}); e.Mean != 6 || math.Abs(e.HalfWidth-4.968) > 0.01 || e.N != 3 {
 		t.Errorf("%+v", e)
 	}
 	res := &Result{}
@@ -467,7 +467,7 @@
 		if m.Name != "money" {
 			continue
 		}
-		value, difference := groups[1].of(m)
+		value, difference := groups[1].estimate(m)
 		if value.Differs() || difference == nil || !difference.Differs() || math.Abs(difference.Mean-5.15) > 1e-9 {
 			t.Errorf("%v, %v: the seeds differ more than the versions", value, difference)
 		}
@@ -485,7 +485,7 @@
 		}
 		var nodes []string
 		ended := time.Duration(0)
-		_, err = play(context.Background(), e, "", 1, t.TempDir(), func(ev history.Event) {
+		_, err = execute(context.Background(), e, "", 1, t.TempDir(), func(ev history.Event) {
 			switch ev.Kind {
 			case history.NodeUp, history.NodeDown:
 				nodes = append(nodes, fmt.Sprint(ev.At.Round(time.Second), ev.Kind))
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -73,55 +73,55 @@
 }
 
 // times are the histograms of a class while they are filled.
-type times struct{ wait, finish, answer *hdrhistogram.Histogram }
+type classHistograms struct{ wait, finish, answer *hdrhistogram.Histogram }
 
 // mostMs bounds what histograms tell apart: a day.
-const mostMs = int64(24 * time.Hour / time.Millisecond)
+const maxHistogramMs = int64(24 * time.Hour / time.Millisecond)
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostMs, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxHistogramMs, 3) }
 
 // Meter sums up events that come in their order.
 type Meter struct {
-	jobs      map[string]*metered
-	classes   map[string]*ClassSummary
-	times     map[string]*times
-	s         Summary
-	samples   int
-	newest    history.Sample
-	used      float64
-	busy      int // samples with machines
-	last      time.Duration
-	served    history.Served
-	within    time.Duration // for the tasks of cancelled jobs to be gone
-	cancelled history.Cancellations
-	starts    map[uint64]int // by the term in the attempt's number, which is its owner's
+	jobs         map[string]*meteredJob
+	classes      map[string]*ClassSummary
+	histograms   map[string]*classHistograms
+	summary      Summary
+	samples      int
+	newest       history.Sample
+	usedSum      float64
+	usedSamples  int // samples with machines
+	lastEvent    time.Duration
+	served       history.Served
+	cancelWithin time.Duration // for the tasks of cancelled jobs to be gone
+	cancelled    history.Cancellations
+	startsByTerm map[uint64]int // by the term in the attempt's number, which is its owner's
 }
 
 // metered is a job as the meter knows it.
-type metered struct {
-	spec     *protocol.JobSpec
-	since    time.Duration
-	on       map[int]time.Duration
-	done     map[int]bool
-	begun    bool
-	accepted bool
-	refused  bool
+type meteredJob struct {
+	spec        *protocol.JobSpec
+	submittedAt time.Duration
+	startedAt   map[int]time.Duration
+	done        map[int]bool
+	begun       bool
+	accepted    bool
+	refused     bool
 }
 
 // NewMeter makes a meter of a deployment whose teams have these limits and whose cancelled jobs
 // must be gone within a time.
 func NewMeter(limits map[string]protocol.Room, cancelWithin time.Duration) *Meter {
-	return &Meter{served: history.Served{Limits: limits}, within: cancelWithin, jobs: map[string]*metered{}, classes: map[string]*ClassSummary{}, times: map[string]*times{}, starts: map[uint64]int{}}
+	return &Meter{served: history.Served{Limits: limits}, cancelWithin: cancelWithin, jobs: map[string]*meteredJob{}, classes: map[string]*ClassSummary{}, histograms: map[string]*classHistograms{}, startsByTerm: map[uint64]int{}}
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(mostMs, max(1, d.Milliseconds()))) // it is in range
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	h.RecordValue(min(maxHistogramMs, max(1, d.Milliseconds()))) // it is in range
 }
 
 // Note takes the next event.
 func (m *Meter) Note(e history.Event) {
-	m.s.Events++
-	m.last = e.At
+	m.summary.Events++
+	m.lastEvent = e.At
 	m.served.Note(e)
 	m.cancelled.Note(e)
 	switch e.Kind {
@@ -129,124 +129,124 @@
 		if m.jobs[e.Job] != nil {
 			return
 		}
-		m.s.Jobs++
-		m.jobs[e.Job] = &metered{spec: e.Spec, since: e.At, on: map[int]time.Duration{}, done: map[int]bool{}}
+		m.summary.Jobs++
+		m.jobs[e.Job] = &meteredJob{spec: e.Spec, submittedAt: e.At, startedAt: map[int]time.Duration{}, done: map[int]bool{}}
 		c := m.classes[e.Spec.Class]
 		if c == nil {
 			c = &ClassSummary{}
 			m.classes[e.Spec.Class] = c
-			m.times[e.Spec.Class] = &times{newHistogram(), newHistogram(), newHistogram()}
+			m.histograms[e.Spec.Class] = &classHistograms{newHistogram(), newHistogram(), newHistogram()}
 		}
 		c.Jobs++
 	case history.Answered:
-		m.answered(m.jobs[e.Job], e)
+		m.noteAnswer(m.jobs[e.Job], e)
 	case history.Told:
-		m.s.Starts++
-		m.starts[protocol.Token(e.Attempt).Term()]++
+		m.summary.Starts++
+		m.startsByTerm[protocol.Token(e.Attempt).Term()]++
 	case history.On, history.Off:
 		id, index, _ := protocol.SplitTask(e.Task)
 		if j := m.jobs[id]; j != nil {
-			m.task(j, index, e)
+			m.noteTask(j, index, e)
 		}
 	case history.Rented:
-		m.s.Rented++
+		m.summary.Rented++
 	case history.Sampled:
-		m.sample(*e.Sample)
+		m.noteSample(*e.Sample)
 	}
 }
 
-func (m *Meter) answered(j *metered, e history.Event) {
+func (m *Meter) noteAnswer(j *meteredJob, e history.Event) {
 	if j == nil {
 		return
 	}
-	c, t := m.classes[j.spec.Class], m.times[j.spec.Class]
+	c, t := m.classes[j.spec.Class], m.histograms[j.spec.Class]
 	switch {
 	case (e.Code == 200 || e.Code == 201) && !j.accepted:
 		j.accepted = true
 		c.Accepted++
-		record(t.answer, e.At-j.since)
+		recordDuration(t.answer, e.At-j.submittedAt)
 	case (e.Code == 400 || e.Code == 422) && !j.refused:
 		j.refused = true
 		c.Refused++
 	}
 }
 
-func (m *Meter) task(j *metered, index int, e history.Event) {
-	c, t := m.classes[j.spec.Class], m.times[j.spec.Class]
+func (m *Meter) noteTask(j *meteredJob, index int, e history.Event) {
+	c, t := m.classes[j.spec.Class], m.histograms[j.spec.Class]
 	if e.Kind == history.On {
-		j.on[index] = e.At
-		if !j.begun && (j.spec.Shape == protocol.Array || len(j.on) == j.spec.Tasks) {
+		j.startedAt[index] = e.At
+		if !j.begun && (j.spec.Shape == protocol.Array || len(j.startedAt) == j.spec.Tasks) {
 			j.begun = true
 			c.Begun++
-			record(t.wait, e.At-j.since)
+			recordDuration(t.wait, e.At-j.submittedAt)
 		}
 		return
 	}
-	since, was := j.on[index]
-	delete(j.on, index)
-	if !was {
+	since, running := j.startedAt[index]
+	delete(j.startedAt, index)
+	if !running {
 		return
 	}
 	if e.Cause == protocol.CauseDone && !j.done[index] {
 		j.done[index] = true
-		m.s.Useful += (e.At - since).Hours() * j.spec.Cores
+		m.summary.Useful += (e.At - since).Hours() * j.spec.Cores
 		if len(j.done) == j.spec.Tasks {
 			c.Done++
-			record(t.finish, e.At-j.since)
+			recordDuration(t.finish, e.At-j.submittedAt)
 		}
 	} else if j.spec.Shape == protocol.Service {
-		m.s.Useful += (e.At - since).Hours() * j.spec.Cores
+		m.summary.Useful += (e.At - since).Hours() * j.spec.Cores
 	}
 }
 
-func (m *Meter) sample(s history.Sample) {
+func (m *Meter) noteSample(s history.Sample) {
 	if m.samples > 0 && s.Cores > 0 {
-		m.used += s.CoresUsed / s.Cores
-		m.busy++
+		m.usedSum += s.CoresUsed / s.Cores
+		m.usedSamples++
 	}
 	m.samples++
 	m.newest = s
-	m.s.Machines += float64(s.Machines)
+	m.summary.Machines += float64(s.Machines)
 }
 
 // Summary is what the events came to.
 func (m *Meter) Summary() (Summary, error) {
-	s := m.s
-	s.Length = m.last
-	cancelled, err := summarizeCancelled(m.cancelled.At(m.last), m.within)
+	s := m.summary
+	s.Length = m.lastEvent
+	cancelled, err := summarizeCancelled(m.cancelled.At(m.lastEvent), m.cancelWithin)
 	if err != nil {
 		return s, err
 	}
 	s.Cancelled = cancelled
-	for _, n := range m.starts {
-		s.Uneven = max(s.Uneven, float64(n)*float64(len(m.starts))/float64(s.Starts))
+	for _, n := range m.startsByTerm {
+		s.Uneven = max(s.Uneven, float64(n)*float64(len(m.startsByTerm))/float64(s.Starts))
 	}
-	shares := m.served.Shares(m.last)
+	shares := m.served.Shares(m.lastEvent)
 	s.ServedClasses, s.ServedTeams, s.ServedLargest, s.BegunLargest = shares.Classes, shares.Teams, shares.Largest, shares.Begun
 	for _, j := range m.jobs {
 		if j.spec.Shape == protocol.Service {
-			for _, since := range j.on {
-				s.Useful += (m.last - since).Hours() * j.spec.Cores
+			for _, since := range j.startedAt {
+				s.Useful += (m.lastEvent - since).Hours() * j.spec.Cores
 			}
 		}
 	}
-	if m.busy > 0 {
-		s.Used = m.used / float64(m.busy)
+	if m.usedSamples > 0 {
+		s.Used = m.usedSum / float64(m.usedSamples)
 	}
 	if m.samples > 0 {
 		s.Machines /= float64(m.samples)
 		s.Money = m.newest.Money
-		s.StateRequests = float64(m.newest.StateRequests) / max(1, m.last.Seconds())
-		s.StateChanges = float64(m.newest.StateChanges) / max(1, m.last.Seconds())
+		s.StateRequests = float64(m.newest.StateRequests) / max(1, m.lastEvent.Seconds())
+		s.StateChanges = float64(m.newest.StateChanges) / max(1, m.lastEvent.Seconds())
 	}
 	s.Classes = m.classes
 	for name, c := range m.classes {
-		for into, h := range map[*[]byte]*hdrhistogram.Histogram{&c.Wait: m.times[name].wait, &c.Finish: m.times[name].finish, &c.Answer: m.times[name].answer} {
+		for target, h := range map[*[]byte]*hdrhistogram.Histogram{&c.Wait: m.histograms[name].wait, &c.Finish: m.histograms[name].finish, &c.Answer: m.histograms[name].answer} {
 			raw, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 			if err != nil {
 				return s, err
 			}
-			*into = raw
+			*target = raw
 		}
 	}
 	return s, nil
--- a/internal/lab/mutate.go
+++ b/internal/lab/mutate.go
@@ -11,20 +11,20 @@
 // closest are the experiments that came closest to a broken rule so far, the closest first. A hunt
 // varies them instead of drawing all anew: a rule that breaks for one order of events in many is
 // found next to those that nearly broke it.
-type closest struct{ all []nearMiss }
+type nearMisses struct{ all []nearMiss }
 
 // nearMiss is an experiment and the largest share of the time allowed that the tasks of a cancelled
 // job took to be gone.
 type nearMiss struct {
-	e     *Experiment
-	share float64
+	experiment *Experiment
+	share      float64
 }
 
 // mostClosest bounds how many experiments are kept to be varied.
-const mostClosest = 6
+const maxNearMisses = 6
 
 // add takes an experiment in, if it came close enough.
-func (c *closest) add(e *Experiment, share float64) {
+func (c *nearMisses) add(e *Experiment, share float64) {
 	if share <= 0 {
 		return
 	}
@@ -35,41 +35,41 @@
 		return 1
 	})
 	c.all = slices.Insert(c.all, at, nearMiss{e, share})
-	c.all = c.all[:min(len(c.all), mostClosest)]
+	c.all = c.all[:min(len(c.all), maxNearMisses)]
 }
 
 // draw draws one of them, the closer the likelier; nil if there is none.
-func (c *closest) draw(rng *rand.Rand) *Experiment {
+func (c *nearMisses) pick(rng *rand.Rand) *Experiment {
 	if len(c.all) == 0 {
 		return nil
 	}
-	return c.all[min(rng.IntN(len(c.all)), rng.IntN(len(c.all)))].e
+	return c.all[min(rng.IntN(len(c.all)), rng.IntN(len(c.all)))].experiment
 }
 
 // Mutated is an experiment like another: up to three of its faults come earlier or later, last
 // longer or shorter, strike more or fewer, are repeated, left out or joined by one drawn anew, or its load
 // and luck are drawn with another seed.
-func Mutated(e *Experiment, seed uint64) *Experiment {
-	rng := source(seed, "mutation")
+func Mutate(e *Experiment, seed uint64) *Experiment {
+	rng := randomSource(seed, "mutation")
 	d := e.deployment()
 	for {
 		c := *e
 		c.Name, c.Seeds = fmt.Sprintf("hunt-%d", seed), slices.Clone(e.Seeds)
 		c.Faults = slices.Clone(e.Faults)
 		for range 1 + rng.IntN(3) {
-			c.mutate(rng, &d)
+			c.mutateOnce(rng, &d)
 		}
 		slices.SortStableFunc(c.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-		if c.check() == nil {
+		if c.validate() == nil {
 			return &c
 		}
 	}
 }
 
 // mostShift bounds by how much a fault is moved.
-const mostShift = 6 * time.Second
+const maxShift = 6 * time.Second
 
-func (e *Experiment) mutate(rng *rand.Rand, d *Deployment) {
+func (e *Experiment) mutateOnce(rng *rand.Rand, d *Deployment) {
 	if len(e.Faults) == 0 || rng.IntN(6) == 0 {
 		e.Faults = append(e.Faults, randomFault(rng, d, e.Length))
 		return
@@ -77,7 +77,7 @@
 	k := rng.IntN(len(e.Faults))
 	f := &e.Faults[k]
 	shift := func(at time.Duration) time.Duration {
-		by := time.Duration(rng.Int64N(int64(2*mostShift))) - mostShift
+		by := time.Duration(rng.Int64N(int64(2*maxShift))) - maxShift
 		return min(max(0, at+by), e.Length*9/10).Round(100 * time.Millisecond)
 	}
 	switch rng.IntN(6) {
@@ -86,7 +86,7 @@
 	case 2, 3:
 		f.Args = slices.Clone(f.Args)
 		n := rng.IntN(len(f.Args))
-		f.Args[n] = varied(f.Args[n], rng)
+		f.Args[n] = varyArg(f.Args[n], rng)
 	case 4:
 		again := *f
 		again.At = shift(f.At)
@@ -101,7 +101,7 @@
 }
 
 // varied is a time or a count that is smaller or larger by up to a third; anything else stays.
-func varied(arg string, rng *rand.Rand) string {
+func varyArg(arg string, rng *rand.Rand) string {
 	factor := 2.0/3 + 2.0/3*rng.Float64()
 	if d, err := time.ParseDuration(arg); err == nil {
 		return max(50*time.Millisecond, time.Duration(float64(d)*factor)).Round(10 * time.Millisecond).String()
--- a/internal/lab/own.go
+++ b/internal/lab/overrides.go
@@ -17,33 +17,33 @@
 
 // Own is what an experiment's deployment has instead of the example's. What is absent is
 // the example's.
-type Own struct {
-	Zones, Control []string
-	Types          []protocol.MachineType
+type Overrides struct {
+	Zones, ControlZones []string
+	Types               []protocol.MachineType
 	// Most is how many machines there are of a type.
-	Most  map[string]int
-	Teams []config.Team
-	Aims  []config.Objective
+	MaxByType  map[string]int
+	Teams      []config.Team
+	Objectives []config.Objective
 	// Report, Lease, GangWait, GangPeer and Cancel are the workers' times.
-	Report, Lease, GangWait, GangPeer, Cancel time.Duration
-	State                                     *emulator.Limits
-	CloudRPS                                  float64
-	ListLag                                   time.Duration
-	ClockOff                                  time.Duration
+	ReportEvery, Lease, GangWait, GangPeer, CancelWithin time.Duration
+	State                                                *emulator.Limits
+	CloudRPS                                             float64
+	ListLag                                              time.Duration
+	ClockOffset                                          time.Duration
 	// Cores, MemMB and Files are each controller's.
-	Cores, MemMB, Files float64
+	Cores, MemMB, FDLimit float64
 }
 
 // set takes one entry of an experiment that is about the deployment.
-func (o *Own) set(head string, values []string, raw []byte) (err error) {
-	times := map[string]*time.Duration{"report": &o.Report, "lease": &o.Lease, "gang-wait": &o.GangWait, "gang-peer": &o.GangPeer,
-		"cancel-within": &o.Cancel, "clock-off": &o.ClockOff}
-	if into := times[head]; into != nil {
-		value, err := one(values)
+func (o *Overrides) setEntry(head string, values []string, raw []byte) (err error) {
+	times := map[string]*time.Duration{"report": &o.ReportEvery, "lease": &o.Lease, "gang-wait": &o.GangWait, "gang-peer": &o.GangPeer,
+		"cancel-within": &o.CancelWithin, "clock-off": &o.ClockOffset}
+	if target := times[head]; target != nil {
+		value, err := singleValue(values)
 		if err == nil {
-			*into, err = duration(value)
+			*target, err = parseDuration(value)
 		}
-		if err == nil && *into <= 0 {
+		if err == nil && *target <= 0 {
 			err = errors.New("it must be more than nothing")
 		}
 		return err
@@ -54,7 +54,7 @@
 			return make([]float64, n)
 		}
 		for _, s := range values {
-			x, bad := decimal(s, least, 1e9)
+			x, bad := parseFloat(s, least, 1e9)
 			err = errors.Join(err, bad)
 			v = append(v, x)
 		}
@@ -66,7 +66,7 @@
 			err = errors.New("names are needed")
 		}
 	case "control-zones":
-		if o.Control = values; len(values) == 0 {
+		if o.ControlZones = values; len(values) == 0 {
 			err = errors.New("names are needed")
 		}
 	case "state": // requests and changes a second, KB of a value, changes of a transaction
@@ -76,24 +76,24 @@
 		if len(values) != 2 {
 			return errors.New("requests a second and the list's lag are needed")
 		}
-		if o.CloudRPS, err = decimal(values[0], 0.1, 1e6); err == nil {
-			o.ListLag, err = duration(values[1])
+		if o.CloudRPS, err = parseFloat(values[0], 0.1, 1e6); err == nil {
+			o.ListLag, err = parseDuration(values[1])
 		}
 	case "node": // cores, MB of memory, files
 		v := numbers(3, 0.01)
-		o.Cores, o.MemMB, o.Files = v[0], v[1], v[2]
+		o.Cores, o.MemMB, o.FDLimit = v[0], v[1], v[2]
 	case "aim": // wait|finished CLASS WITHIN SHARE
 		if len(values) != 4 || values[0] != "wait" && values[0] != "finished" {
 			return errors.New("wait or finished, a class, a time and a share are needed")
 		}
 		a := config.Objective{Kind: values[0], Class: values[1]}
-		within, err := duration(values[2])
+		within, err := parseDuration(values[2])
 		if err != nil {
 			return err
 		}
 		a.WithinS = within.Seconds()
-		if a.Share, err = decimal(values[3], 0, 1); err == nil {
-			o.Aims = append(o.Aims, a)
+		if a.Share, err = parseFloat(values[3], 0, 1); err == nil {
+			o.Objectives = append(o.Objectives, a)
 		}
 		return err
 	case "team":
@@ -107,25 +107,25 @@
 }
 
 // amounts are the entries of a named form, each with numbers.
-func amounts(raw []byte, kind edn.Symbol, other func(name string, values []string) bool, allowed map[string][]*float64) (name string, err error) {
+func parseAmounts(raw []byte, kind edn.Symbol, handled func(name string, values []string) bool, allowed map[string][]*float64) (name string, err error) {
 	name, entries, err := forms.Named(raw, kind)
 	if err != nil {
 		return "", err
 	}
 	for _, e := range entries {
-		values, err := texts(e.Values)
-		if err != nil || !plainName(name) {
+		values, err := valueTexts(e.Values)
+		if err != nil || !isPlainName(name) {
 			return "", fmt.Errorf("%s %q: %s: names and values must be plain: %v", kind, name, e.Name, err)
 		}
-		if other(e.Name, values) {
+		if handled(e.Name, values) {
 			continue
 		}
-		into, known := allowed[e.Name]
-		if !known || len(values) != len(into) {
+		targets, known := allowed[e.Name]
+		if !known || len(values) != len(targets) {
 			return "", fmt.Errorf("%s %q: %s: no such entry, or not with %d values", kind, name, e.Name, len(values))
 		}
 		for n, s := range values {
-			if *into[n], err = decimal(s, 0, 1e7); err != nil {
+			if *targets[n], err = parseFloat(s, 0, 1e7); err != nil {
 				return "", fmt.Errorf("%s %q: %s: %w", kind, name, e.Name, err)
 			}
 		}
@@ -134,9 +134,9 @@
 }
 
 // setTeam reads (team "x" (cpus GUARANTEE LIMIT) (gpus GUARANTEE LIMIT)).
-func (o *Own) setTeam(raw []byte) (err error) {
+func (o *Overrides) setTeam(raw []byte) (err error) {
 	var t config.Team
-	t.Name, err = amounts(raw, "team", func(string, []string) bool { return false },
+	t.Name, err = parseAmounts(raw, "team", func(string, []string) bool { return false },
 		map[string][]*float64{"cpus": {&t.Cores, &t.CoresMax}, "gpus": {&t.Accels, &t.AccelsMax}})
 	if err == nil {
 		o.Teams = append(o.Teams, t)
@@ -146,10 +146,10 @@
 
 // setType reads (type "x" (cores N) (accels N) (ram GB) (cache GB) (fetch GB/s) (price P
 // SPOT) (boot S) (most N) (zones "a" ...)).
-func (o *Own) setType(raw []byte) (err error) {
+func (o *Overrides) setType(raw []byte) (err error) {
 	var t protocol.MachineType
 	most := -1.0
-	t.Name, err = amounts(raw, "type", func(name string, values []string) bool {
+	t.Name, err = parseAmounts(raw, "type", func(name string, values []string) bool {
 		if name == "zones" {
 			t.Zones = values
 		}
@@ -164,17 +164,17 @@
 	}
 	o.Types = append(o.Types, t)
 	if most >= 0 {
-		if o.Most == nil {
-			o.Most = map[string]int{}
+		if o.MaxByType == nil {
+			o.MaxByType = map[string]int{}
 		}
-		o.Most[t.Name] = int(most)
+		o.MaxByType[t.Name] = int(most)
 	}
 	return nil
 }
 
 // check tells what of a deployment does not go together.
-func (o *Own) check(d *Deployment) error {
-	for _, z := range o.Control {
+func (o *Overrides) validate(d *Deployment) error {
+	for _, z := range o.ControlZones {
 		if !slices.Contains(d.Zones, z) {
 			return fmt.Errorf("control-zones: there is no zone %q", z)
 		}
@@ -194,16 +194,16 @@
 
 // deployment is the example's, with what is the experiment's own.
 func (e *Experiment) deployment() Deployment {
-	d, o := Example(e.Controllers, e.Machines), &e.Own
+	d, o := Example(e.Controllers, e.Machines), &e.Overrides
 	if o.Zones != nil {
 		for i := range d.Types {
 			d.Types[i].Zones = o.Zones
 		}
 		d.Zones = o.Zones
 	}
-	d.Control = o.Control
+	d.ControlZones = o.ControlZones
 	if o.Types != nil {
-		d.Types, d.Most = slices.Clone(o.Types), o.Most
+		d.Types, d.MaxByType = slices.Clone(o.Types), o.MaxByType
 		for i := range d.Types {
 			if d.Types[i].Zones == nil {
 				d.Types[i].Zones = d.Zones
@@ -213,11 +213,11 @@
 	if o.Teams != nil {
 		d.Teams = o.Teams
 	}
-	if o.Aims != nil {
-		d.Objectives = o.Aims
+	if o.Objectives != nil {
+		d.Objectives = o.Objectives
 	}
-	for into, v := range map[*time.Duration]time.Duration{&d.ReportEvery: o.Report, &d.Lease: o.Lease, &d.GangWait: o.GangWait, &d.GangPeer: o.GangPeer,
-		&d.CancelWithin: o.Cancel, &d.ClockOff: o.ClockOff} {
+	for into, v := range map[*time.Duration]time.Duration{&d.ReportEvery: o.ReportEvery, &d.Lease: o.Lease, &d.GangWait: o.GangWait, &d.GangPeer: o.GangPeer,
+		&d.CancelWithin: o.CancelWithin, &d.ClockOffset: o.ClockOffset} {
 		if v > 0 {
 			*into = v
 		}
@@ -229,24 +229,24 @@
 		d.CloudRPS, d.ListLag = o.CloudRPS, o.ListLag
 	}
 	if o.Cores > 0 {
-		d.Cores, d.MemMB, d.Files = o.Cores, o.MemMB, int(o.Files)
+		d.Cores, d.MemMB, d.FDLimit = o.Cores, o.MemMB, int(o.FDLimit)
 	}
 	return d
 }
 
 // lines write it as set reads it.
-func (o *Own) lines() (all []string) {
+func (o *Overrides) entries() (all []string) {
 	p := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	if o.Zones != nil {
-		p("(zones%s)", quoted(o.Zones))
+		p("(zones%s)", quoteValues(o.Zones))
 	}
-	if o.Control != nil {
-		p("(control-zones%s)", quoted(o.Control))
+	if o.ControlZones != nil {
+		p("(control-zones%s)", quoteValues(o.ControlZones))
 	}
 	for _, name := range []struct {
 		name string
 		d    time.Duration
-	}{{"report", o.Report}, {"lease", o.Lease}, {"gang-wait", o.GangWait}, {"gang-peer", o.GangPeer}, {"cancel-within", o.Cancel}, {"clock-off", o.ClockOff}} {
+	}{{"report", o.ReportEvery}, {"lease", o.Lease}, {"gang-wait", o.GangWait}, {"gang-peer", o.GangPeer}, {"cancel-within", o.CancelWithin}, {"clock-off", o.ClockOffset}} {
 		if name.d > 0 {
 			p("(%s %q)", name.name, name.d)
 		}
@@ -258,29 +258,29 @@
 		p("(cloud %v %q)", o.CloudRPS, o.ListLag)
 	}
 	if o.Cores > 0 {
-		p("(node %v %v %v)", o.Cores, o.MemMB, o.Files)
+		p("(node %v %v %v)", o.Cores, o.MemMB, o.FDLimit)
 	}
 	for _, t := range o.Types {
 		s := fmt.Sprintf("(type %q (cores %v) (accels %v) (ram %v) (cache %v) (fetch %v) (price %v %v) (boot %v)", t.Name, t.Cores, t.Accels, t.RAM,
 			t.CacheGB, t.FetchRate, t.Price, t.SpotPrice, t.BootS)
-		if most, bound := o.Most[t.Name]; bound {
+		if most, bound := o.MaxByType[t.Name]; bound {
 			s += fmt.Sprintf(" (most %d)", most)
 		}
 		if t.Zones != nil {
-			s += " (zones" + quoted(t.Zones) + ")"
+			s += " (zones" + quoteValues(t.Zones) + ")"
 		}
 		p("%s)", s)
 	}
 	for _, t := range o.Teams {
 		p("(team %q (cpus %v %v) (gpus %v %v))", t.Name, t.Cores, t.CoresMax, t.Accels, t.AccelsMax)
 	}
-	for _, a := range o.Aims {
+	for _, a := range o.Objectives {
 		p("(aim %s %q %q %v)", a.Kind, a.Class, protocol.Seconds(a.WithinS), a.Share)
 	}
 	return all
 }
 
-func quoted(values []string) string {
+func quoteValues(values []string) string {
 	var b strings.Builder
 	for _, v := range values {
 		fmt.Fprintf(&b, " %q", v)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -82,7 +82,7 @@
 	for _, m := range r.measures() {
 		row := pageRow{Name: m.Name}
 		for _, g := range p.Groups {
-			value, difference := g.of(m)
+			value, difference := g.estimate(m)
 			cell := pageCell{Value: value.String()}
 			if difference != nil {
 				cell.Difference, cell.Differs = difference.String(), difference.Differs()
@@ -96,7 +96,7 @@
 			p.Broken = append(p.Broken, s.Run+": "+v.String())
 		}
 		for k := range s.Cancelled.Worst {
-			p.Slowest = append(p.Slowest, s.Run+": "+describe(&s.Cancelled.Worst[k], s.Cancelled.Within))
+			p.Slowest = append(p.Slowest, s.Run+": "+describeCancellation(&s.Cancelled.Worst[k], s.Cancelled.Within))
 		}
 	}
 	for _, g := range p.Groups {
@@ -117,18 +117,18 @@
 }
 
 // course is what the charts of one run are drawn from.
-type course struct {
+type timeline struct {
 	at      []time.Duration
 	samples []history.Sample
-	faults  []span
+	faults  []faultSpan
 }
 
-type span struct {
+type faultSpan struct {
 	from, to time.Duration
 	what     string
 }
 
-func readCourse(file string) (c course, err error) {
+func readTimeline(file string) (c timeline, err error) {
 	open := map[string][]int{}
 	err = history.Read(file, func(e history.Event) error {
 		switch e.Kind {
@@ -136,7 +136,7 @@
 			c.at, c.samples = append(c.at, e.At), append(c.samples, *e.Sample)
 		case history.FaultBegins:
 			open[e.Cause] = append(open[e.Cause], len(c.faults))
-			c.faults = append(c.faults, span{e.At, -1, e.Cause})
+			c.faults = append(c.faults, faultSpan{e.At, -1, e.Cause})
 		case history.FaultEnds:
 			if n := len(open[e.Cause]); n > 0 {
 				c.faults[open[e.Cause][0]].to = e.At
@@ -166,7 +166,7 @@
 }
 
 // over gives a line over the samples.
-func (c *course) over(name string, f func(n int) float64) line {
+func (c *timeline) series(name string, f func(n int) float64) line {
 	l := line{name: name}
 	for n, at := range c.at {
 		l.points = append(l.points, plotter.XY{X: at.Minutes(), Y: f(n)})
@@ -175,8 +175,8 @@
 }
 
 // rate is a line of how fast a count grows, a second.
-func (c *course) rate(name string, count func(*history.Sample) float64) line {
-	return c.over(name, func(n int) float64 {
+func (c *timeline) rate(name string, count func(*history.Sample) float64) line {
+	return c.series(name, func(n int) float64 {
 		if n == 0 {
 			return 0
 		}
@@ -186,7 +186,7 @@
 
 // charts draws the first of a group's runs, and the waits of all of them.
 func (g *Group) charts(events string) (p pageCharts, err error) {
-	c, err := readCourse(events)
+	c, err := readTimeline(events)
 	if err != nil {
 		return p, err
 	}
@@ -198,15 +198,15 @@
 		title, y string
 		lines    []line
 	}{
-		{"Tasks that run, jobs that wait", "", []line{c.over("tasks running", at(func(s *history.Sample) float64 { return float64(s.Running) })),
-			c.over("jobs waiting", at(func(s *history.Sample) float64 { return float64(s.Waiting) }))}},
-		{"Machines", "", []line{c.over("charged", at(func(s *history.Sample) float64 { return float64(s.Machines) }))}},
-		{"CPUs in use", "%", []line{c.over("of those there", at(func(s *history.Sample) float64 { return 100 * s.CoresUsed / max(1, s.Cores) }))}},
+		{"Tasks that run, jobs that wait", "", []line{c.series("tasks running", at(func(s *history.Sample) float64 { return float64(s.Running) })),
+			c.series("jobs waiting", at(func(s *history.Sample) float64 { return float64(s.Waiting) }))}},
+		{"Machines", "", []line{c.series("charged", at(func(s *history.Sample) float64 { return float64(s.Machines) }))}},
+		{"CPUs in use", "%", []line{c.series("of those there", at(func(s *history.Sample) float64 { return 100 * s.CoresUsed / max(1, s.Cores) }))}},
 		{"State service", "a second", []line{c.rate("requests", func(s *history.Sample) float64 { return float64(s.StateRequests) }),
 			c.rate("changes", func(s *history.Sample) float64 { return float64(s.StateChanges) })}},
-		{"Money", "", []line{c.over("spent", at(func(s *history.Sample) float64 { return s.Money }))}},
+		{"Money", "", []line{c.series("spent", at(func(s *history.Sample) float64 { return s.Money }))}},
 	} {
-		svg, err := draw(chart.title, "minutes", chart.y, chart.lines, c.faults)
+		svg, err := drawChart(chart.title, "minutes", chart.y, chart.lines, c.faults)
 		if err != nil {
 			return p, err
 		}
@@ -216,22 +216,22 @@
 	if err != nil || len(waits) == 0 {
 		return p, err
 	}
-	svg, err := draw("Waits by class, all seeds", "seconds", "% of jobs begun", waits, nil)
+	svg, err := drawChart("Waits by class, all seeds", "seconds", "% of jobs begun", waits, nil)
 	if err != nil {
 		return p, err
 	}
 	p.Charts = append(p.Charts, svg)
-	gone, err := g.gone()
+	gone, err := g.cancellationTimes()
 	if err != nil || len(gone.points) == 0 {
 		return p, err
 	}
-	svg, err = draw("Until the tasks of cancelled jobs were gone, all seeds", "seconds", "% of those that had any", []line{gone}, nil)
+	svg, err = drawChart("Until the tasks of cancelled jobs were gone, all seeds", "seconds", "% of those that had any", []line{gone}, nil)
 	p.Charts = append(p.Charts, svg)
 	return p, err
 }
 
 // gone is the share of cancelled jobs whose tasks were gone within a time.
-func (g *Group) gone() (l line, err error) {
+func (g *Group) cancellationTimes() (l line, err error) {
 	merged := newHistogram()
 	for _, s := range g.Runs {
 		if len(s.Cancelled.Took) == 0 {
@@ -243,11 +243,11 @@
 		}
 		merged.Merge(h)
 	}
-	return quantiles("cancelled jobs", merged), nil
+	return quantileLine("cancelled jobs", merged), nil
 }
 
 // quantiles is a line over the quantiles of a histogram of milliseconds; no points if it is empty.
-func quantiles(name string, h *hdrhistogram.Histogram) line {
+func quantileLine(name string, h *hdrhistogram.Histogram) line {
 	l := line{name: name}
 	if h.TotalCount() == 0 {
 		return l
@@ -274,7 +274,7 @@
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(merged)) {
-		if l := quantiles(class, merged[class]); len(l.points) > 0 {
+		if l := quantileLine(class, merged[class]); len(l.points) > 0 {
 			lines = append(lines, l)
 		}
 	}
@@ -285,7 +285,7 @@
 	color.RGBA{0x8a, 0x3f, 0x9c, 0xff}, color.RGBA{0x90, 0x50, 0x30, 0xff}, color.RGBA{0x40, 0x40, 0x40, 0xff}}
 
 // draw draws lines, and behind them when something failed.
-func draw(title, x, y string, lines []line, faults []span) (template.HTML, error) {
+func drawChart(title, x, y string, lines []line, faults []faultSpan) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Y.Min, p.Legend.Top = 0, true
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -39,11 +39,11 @@
 	grid := []map[string]float64{{}}
 	for _, v := range e.Vary {
 		var next []map[string]float64
-		for _, at := range grid {
+		for _, partial := range grid {
 			for _, value := range v.Values {
 				point := map[string]float64{v.Name: value}
-				for name, other := range at {
-					point[name] = other
+				for name, otherValue := range partial {
+					point[name] = otherValue
 				}
 				next = append(next, point)
 			}
@@ -66,7 +66,7 @@
 }
 
 // apply gives the experiment as a run has it.
-func (r *Run) apply() (*Experiment, error) {
+func (r *Run) withSettings() (*Experiment, error) {
 	e, err := Parse([]byte(r.Experiment))
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 			e.Machines, e.Scale = int(float64(e.Machines)*v), e.Scale*v
 		}
 	}
-	return e, e.check()
+	return e, e.validate()
 }
 
 // The files of a run and of a result.
@@ -96,20 +96,20 @@
 )
 
 // sampleEvery is how often the state of the world is noted.
-const sampleEvery = 5 * time.Second
+const sampleInterval = 5 * time.Second
 
 // settle is how long a world in virtual time is given to come to rest at its end.
-const settle = 5 * time.Minute
+const settleTime = 5 * time.Minute
 
 // Play plays a run whose files are in a directory: it reads run.json and writes the
 // events and the summary. For virtual time it must be called in a bubble of
 // testing/synctest.
-func Play(ctx context.Context, dir string, progress func(share float64)) error {
+func Execute(ctx context.Context, dir string, progress func(share float64)) error {
 	r, err := readRun(dir)
 	if err != nil {
 		return err
 	}
-	e, err := r.apply()
+	e, err := r.withSettings()
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := play(ctx, e, r.Version.Path, r.Seed, dir, w.Write, progress)
+	s, err := execute(ctx, e, r.Version.Path, r.Seed, dir, w.Write, progress)
 	if err != nil {
 		w.Abandon()
 		return err
@@ -142,171 +142,171 @@
 }
 
 // stage is where a run plays: the network, and the controllers.
-type stage struct {
-	d     *Deployment
-	world *emulator.World
-	pipes *emulator.Pipes // nil on loopback
-	dial  transport.Dialer
-	hosts hosts
-	a     Addresses
+type testbed struct {
+	deployment *Deployment
+	world      *emulator.World
+	pipes      *emulator.Pipes // nil on loopback
+	dial       transport.Dialer
+	launcher   launcher
+	addresses  Addresses
 }
 
 // play plays an experiment and sums it up; every event is recorded.
-func play(ctx context.Context, e *Experiment, program string, seed uint64, dir string, record func(history.Event), progress func(float64)) (sum Summary, err error) {
+func execute(ctx context.Context, e *Experiment, program string, seed uint64, dir string, record func(history.Event), progress func(float64)) (summary Summary, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	over := false
-	d := e.deployment()
-	set := d.Setup(seed, true)
-	meter := NewMeter(set.Limits(), d.CancelWithin)
-	set.Record = func(ev history.Event) {
-		if !over { // on the world's goroutine
+	finished := false
+	deployment := e.deployment()
+	setup := deployment.Setup(seed, true)
+	meter := NewMeter(setup.Limits(), deployment.CancelWithin)
+	setup.Record = func(ev history.Event) {
+		if !finished { // on the world's goroutine
 			meter.Note(ev)
 			record(ev)
 		}
 	}
-	st, err := newStage(ctx, e, &d, set, program, dir)
+	bed, err := newTestbed(ctx, e, &deployment, setup, program, dir)
 	if err != nil {
-		return sum, err
+		return summary, err
 	}
-	end := func() {
-		st.hosts.stop()
-		st.world.End()
+	shutDown := func() {
+		bed.launcher.stop()
+		bed.world.End()
 		cancel()
-		if !e.Real {
-			time.Sleep(settle) // all goroutines notice and end
+		if !e.RealTime {
+			time.Sleep(settleTime) // all goroutines notice and end
 		}
 	}
-	defer end()
-	for _, name := range d.Controllers {
-		if err := st.hosts.start(name); err != nil {
-			return sum, err
+	defer shutDown()
+	for _, name := range deployment.Controllers {
+		if err := bed.launcher.start(name); err != nil {
+			return summary, err
 		}
-		st.world.Note(history.Event{Kind: history.NodeUp, Node: name})
+		bed.world.Note(history.Event{Kind: history.NodeUp, Node: name})
 	}
 	users, stopUsers := context.WithCancel(ctx)
 	defer stopUsers()
-	if err := st.conduct(users, e, seed, progress); err != nil {
-		return sum, err
+	if err := bed.runWorkload(users, e, seed, progress); err != nil {
+		return summary, err
 	}
 	stopUsers()
 	length := e.Length + e.Rest
-	var broken []history.Violation
+	var violations []history.Violation
 	var unanswered time.Duration
-	st.world.Rules(func(r *history.Checker) {
-		r.End(st.world.Since())
-		broken, unanswered = r.Violations(), r.Unanswered()
-		over = true
+	bed.world.Rules(func(r *history.Checker) {
+		r.End(bed.world.Since())
+		violations, unanswered = r.Violations(), r.Unanswered()
+		finished = true
 	})
-	sum, err = meter.Summary()
-	broken = append(broken, sum.unserved(e.Served)...)
-	sum.Broken, sum.Length, sum.Unanswered = broken, max(sum.Length, length), unanswered
-	return sum, err
+	summary, err = meter.Summary()
+	violations = append(violations, summary.violationsBelow(e.MinServed)...)
+	summary.Broken, summary.Length, summary.Unanswered = violations, max(summary.Length, length), unanswered
+	return summary, err
 }
 
 // unserved are the classes, teams and largest jobs of which less than a share is served.
-func (s *Summary) unserved(least float64) (broken []history.Violation) {
-	for _, of := range []struct {
+func (s *Summary) violationsBelow(minimum float64) (violations []history.Violation) {
+	for _, check := range []struct {
 		shares map[string]float64
-		says   string
+		format string
 	}{{s.ServedClasses, "class %s is served by %.2f of its work"}, {s.ServedTeams, "team %s is served by %.2f of its work"},
 		{s.ServedLargest, "the largest jobs of class %s are served by %.2f of their work"},
 		{s.BegunLargest, "of the largest jobs of class %s %.2f began within " + history.BeginWithin.String()}} {
-		for _, name := range slices.Sorted(maps.Keys(of.shares)) {
-			if share := of.shares[name]; share < least {
-				broken = append(broken, history.Violation{At: s.Length, Rule: history.Unserved, What: fmt.Sprintf(of.says, name, share)})
+		for _, name := range slices.Sorted(maps.Keys(check.shares)) {
+			if share := check.shares[name]; share < minimum {
+				violations = append(violations, history.Violation{At: s.Length, Rule: history.Unserved, What: fmt.Sprintf(check.format, name, share)})
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-func newStage(ctx context.Context, e *Experiment, d *Deployment, set emulator.Setup, program, dir string) (st *stage, err error) {
-	st = &stage{d: d}
+func newTestbed(ctx context.Context, e *Experiment, deployment *Deployment, setup emulator.Setup, program, dir string) (bed *testbed, err error) {
+	bed = &testbed{deployment: deployment}
 	var network emulator.Network = emulator.Loopback{}
-	if !e.Real {
-		st.pipes = emulator.NewPipes(ctx)
-		network = st.pipes
-		d.onPipes(&st.a)
-	} else if err := d.onLoopback(&st.a); err != nil {
+	if !e.RealTime {
+		bed.pipes = emulator.NewPipes(ctx)
+		network = bed.pipes
+		deployment.assignPipes(&bed.addresses)
+	} else if err := deployment.assignLoopback(&bed.addresses); err != nil {
 		return nil, err
 	}
-	if st.world, err = emulator.New(ctx, network, set); err != nil {
+	if bed.world, err = emulator.New(ctx, network, setup); err != nil {
 		return nil, err
 	}
-	if st.a.Cloud, st.a.State, err = st.world.Serve(); err != nil {
+	if bed.addresses.Cloud, bed.addresses.State, err = bed.world.Serve(); err != nil {
 		return nil, err
 	}
-	files, err := d.WriteSettings(dir, st.a)
+	files, err := deployment.WriteSettings(dir, bed.addresses)
 	if err != nil {
 		return nil, err
 	}
-	st.world.Fronts(st.a.Front)
-	st.dial = network.Dialer(usersHost)
-	if !e.Real {
-		st.hosts = &inside{net: st.pipes, files: files, ends: map[string]func(){}}
-		return st, nil
+	bed.world.Fronts(bed.addresses.Front)
+	bed.dial = network.Dialer(usersHost)
+	if !e.RealTime {
+		bed.launcher = &inProcessLauncher{net: bed.pipes, files: files, stops: map[string]func(){}}
+		return bed, nil
 	}
 	if program == "" {
 		if program, err = os.Executable(); err != nil {
 			return nil, err
 		}
 	}
-	st.hosts = &processes{program: program, files: files, logs: dir, running: map[string]*process{}, ended: func(name string, err error) {
-		st.world.Note(history.Event{Kind: history.NodeDown, Node: name, Cause: fmt.Sprint("ended by itself: ", err)})
+	bed.launcher = &processLauncher{program: program, files: files, logs: dir, running: map[string]*process{}, exited: func(name string, err error) {
+		bed.world.Note(history.Event{Kind: history.NodeDown, Node: name, Cause: fmt.Sprint("ended by itself: ", err)})
 		slog.Error("a controller ended by itself", "name", name, "err", err)
 	}}
-	return st, nil
+	return bed, nil
 }
 
 // conduct has users come and things fail at their times, until the end.
-func (st *stage) conduct(ctx context.Context, e *Experiment, seed uint64, progress func(float64)) error {
-	balancer := emulator.NewBalancer(ctx, st.dial, st.d.Controllers, st.a.Front, seed)
-	client := &http.Client{Transport: &http.Transport{DialContext: balancer.Dial, MaxIdleConnsPerHost: usersAtOnce, MaxConnsPerHost: usersAtOnce, DisableCompression: true},
+func (bed *testbed) runWorkload(ctx context.Context, e *Experiment, seed uint64, progress func(float64)) error {
+	balancer := emulator.NewBalancer(ctx, bed.dial, bed.deployment.Controllers, bed.addresses.Front, seed)
+	client := &http.Client{Transport: &http.Transport{DialContext: balancer.Dial, MaxIdleConnsPerHost: maxUserConnections, MaxConnsPerHost: maxUserConnections, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	defer client.CloseIdleConnections()
-	todo := make(chan func())
+	actions := make(chan func())
 	after := func(d time.Duration, f func()) {
 		time.AfterFunc(d, func() {
 			select {
-			case todo <- f:
+			case actions <- f:
 			case <-ctx.Done():
 			}
 		})
 	}
 	var failed error
-	b := &breaker{d: st.d, world: st.world, net: st.pipes, hosts: st.hosts, depth: map[string]int{}, cuts: map[string]func(string, string) bool{},
-		note: st.world.Note, fail: func(err error) { failed = errors.Join(failed, err) }, draw: source(seed, "faults"),
+	injector := &faultInjector{deployment: bed.deployment, world: bed.world, net: bed.pipes, launcher: bed.launcher, active: map[string]int{}, cuts: map[string]func(string, string) bool{},
+		note: bed.world.Note, fail: func(err error) { failed = errors.Join(failed, err) }, rng: randomSource(seed, "faults"),
 		cancel: func(job string) {
-			u := &user{order: order{spec: &protocol.JobSpec{ID: job}}, http: client, world: st.world, rng: source(seed, "cancels "+job)}
+			u := &user{plannedJob: plannedJob{spec: &protocol.JobSpec{ID: job}}, http: client, world: bed.world, rng: randomSource(seed, "cancels "+job)}
 			go u.cancel(ctx)
 		}}
 	began := time.Now()
 	for _, f := range e.Faults {
 		if f.At < e.Length {
-			after(f.At, func() { b.begin(f, after) })
+			after(f.At, func() { injector.inject(f, after) })
 		}
 	}
-	for n, o := range e.orders(seed) {
-		u := &user{order: o, http: client, world: st.world, rng: source(seed, fmt.Sprint("user ", n))}
-		time.AfterFunc(o.at, func() {
+	for n, o := range e.plannedJobs(seed) {
+		u := &user{plannedJob: o, http: client, world: bed.world, rng: randomSource(seed, fmt.Sprint("user ", n))}
+		time.AfterFunc(o.submitAt, func() {
 			if ctx.Err() == nil {
-				u.live(ctx)
+				u.run(ctx)
 			}
 		})
 	}
 	total := e.Length + e.Rest
 	over := time.After(total)
-	ticks := time.NewTicker(sampleEvery)
+	ticks := time.NewTicker(sampleInterval)
 	defer ticks.Stop()
 	for {
 		select {
-		case f := <-todo:
+		case f := <-actions:
 			if f(); failed != nil {
 				return failed
 			}
 		case <-ticks.C:
-			st.world.Sample()
+			bed.world.Sample()
 			progress(math.Min(1, time.Since(began).Seconds()/total.Seconds()))
 		case <-over:
 			return nil
--- a/internal/lab/runner.go
+++ b/internal/lab/runner.go
@@ -19,9 +19,9 @@
 	Dir string
 	// Play is the command line that plays the run in the directory that is added to it,
 	// and prints its progress as shares, a line each.
-	Play []string
+	Command []string
 	// AtOnce is how many runs play at the same time; 0: as many as fit.
-	AtOnce int
+	Parallel int
 	// Progress is told of the share that is done of all; it may be nil.
 	Progress func(share float64)
 }
@@ -41,53 +41,53 @@
 		return nil, err
 	}
 	runs := e.Runs()
-	atOnce := r.AtOnce
-	if atOnce <= 0 {
+	parallel := r.Parallel
+	if parallel <= 0 {
 		// In real time runs would disturb each other; in virtual time they use one or two
 		// cores each.
-		if atOnce = max(1, runtime.NumCPU()/2); e.Real {
-			atOnce = 1
+		if parallel = max(1, runtime.NumCPU()/2); e.RealTime {
+			parallel = 1
 		}
 	}
-	type news struct {
-		n     int
-		share float64
-		sum   *Summary
-		err   error
-		over  bool
+	type update struct {
+		n        int
+		share    float64
+		sum      *Summary
+		err      error
+		finished bool
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	told := make(chan news)
-	slots := make(chan struct{}, atOnce)
+	updates := make(chan update)
+	running := make(chan struct{}, parallel)
 	for n, run := range runs {
 		go func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			sum, err := r.play(ctx, run, func(share float64) { told <- news{n: n, share: share} })
-			told <- news{n: n, sum: sum, err: err, over: true}
+			running <- struct{}{}
+			defer func() { <-running }()
+			sum, err := r.execute(ctx, run, func(share float64) { updates <- update{n: n, share: share} })
+			updates <- update{n: n, sum: sum, err: err, finished: true}
 		}()
 	}
 	shares := make([]float64, len(runs))
-	res := &Result{Experiment: e.String(), Runs: make([]Summary, len(runs))}
+	result := &Result{Experiment: e.String(), Runs: make([]Summary, len(runs))}
 	var failed error
-	for left := len(runs); left > 0; {
-		t := <-told
+	for remaining := len(runs); remaining > 0; {
+		u := <-updates
 		switch {
-		case t.err != nil:
+		case u.err != nil:
 			if failed == nil {
 				cancel() // the first fault ends all
 			}
-			if failed == nil || !errors.Is(t.err, context.Canceled) {
-				failed = errors.Join(failed, fmt.Errorf("run %s: %w", runs[t.n].Name, t.err))
+			if failed == nil || !errors.Is(u.err, context.Canceled) {
+				failed = errors.Join(failed, fmt.Errorf("run %s: %w", runs[u.n].Name, u.err))
 			}
-		case t.over:
-			res.Runs[t.n], shares[t.n] = *t.sum, 1
+		case u.finished:
+			result.Runs[u.n], shares[u.n] = *u.sum, 1
 		default:
-			shares[t.n] = t.share
+			shares[u.n] = u.share
 		}
-		if t.over {
-			left--
+		if u.finished {
+			remaining--
 		}
 		if r.Progress != nil {
 			done := 0.0
@@ -100,11 +100,11 @@
 	if failed != nil {
 		return nil, failed
 	}
-	return res, writeJSON(filepath.Join(r.Dir, resultFile), res)
+	return result, writeJSON(filepath.Join(r.Dir, resultFile), result)
 }
 
 // play has one run played.
-func (r *Runner) play(ctx context.Context, run Run, progress func(float64)) (*Summary, error) {
+func (r *Runner) execute(ctx context.Context, run Run, progress func(float64)) (*Summary, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	if err := writeJSON(filepath.Join(dir, runFile), run); err != nil {
 		return nil, err
 	}
-	took, memory, err := child(ctx, append(r.Play[:len(r.Play):len(r.Play)], dir), filepath.Join(dir, logFile), progress)
+	took, memory, err := runCommand(ctx, append(r.Command[:len(r.Command):len(r.Command)], dir), filepath.Join(dir, logFile), progress)
 	if err != nil {
 		return nil, err
 	}
