--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -71,7 +71,7 @@
 // test.
 func ExecuteInProcess(dir string, virtual bool) {
 	execute := func(ctx context.Context) error {
-		return Execute(ctx, dir, func(share float64) { fmt.Println(strconv.FormatFloat(share, 'f', 4, 64)) })
+		return ExecuteRun(ctx, dir, func(share float64) { fmt.Println(strconv.FormatFloat(share, 'f', 4, 64)) })
 	}
 	if !virtual {
 		if err := execute(context.Background()); err != nil {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -57,9 +57,9 @@
 	Arrivals []Arrivals
 	Tasks    Distribution
 	// Run is a task's run time in seconds on a machine of nominal speed.
-	RunTime Distribution
+	Run Distribution
 	// Error is the sigma of the factor by which owners err about run times.
-	EstimateError      float64
+	Error              float64
 	Cores, Accels, RAM float64
 	Image              string
 	ImageGB            float64
--- a/internal/lab/experiment_parse.go
+++ b/internal/lab/experiment_parse.go
@@ -120,7 +120,7 @@
 }
 
 func parseClass(raw []byte) (c Class, err error) {
-	c = Class{Teams: []string{"desk"}, Shape: protocol.Array, Priority: "normal", Tasks: Distribution{Kind: "const", A: 1}, RunTime: Distribution{Kind: "const", A: 30},
+	c = Class{Teams: []string{"desk"}, Shape: protocol.Array, Priority: "normal", Tasks: Distribution{Kind: "const", A: 1}, Run: Distribution{Kind: "const", A: 30},
 		Cores: 4, RAM: 8, Image: "tools", ImageGB: 2}
 	name, entries, err := forms.Named(raw, "class")
 	if err != nil {
@@ -345,9 +345,9 @@
 	case "tasks":
 		c.Tasks, err = parseDistribution(raw[0])
 	case "run":
-		c.RunTime, err = parseDistribution(raw[0])
+		c.Run, err = parseDistribution(raw[0])
 	case "error":
-		c.EstimateError, err = parseFloat(value, 0, 3)
+		c.Error, err = parseFloat(value, 0, 3)
 	case "cores":
 		c.Cores, err = parseFloat(value, 0, 1000)
 	case "accels":
--- a/internal/lab/experiment_write.go
+++ b/internal/lab/experiment_write.go
@@ -56,7 +56,7 @@
 func (c Class) String() string {
 	shape := map[protocol.Shape]string{protocol.Array: "array", protocol.Gang: "gang", protocol.Service: "service"}[c.Shape]
 	s := fmt.Sprintf("(class %q (team%s) (shape %s) (priority %s) (arrivals%s) (tasks %s) (run %s) (error %v)\n    (cores %v) (accels %v) (ram %v) (image %q %v)",
-		c.Name, quoteValues(c.Teams), shape, c.Priority, joinValues(c.Arrivals), c.Tasks, c.RunTime, c.EstimateError, c.Cores, c.Accels, c.RAM, c.Image, c.ImageGB)
+		c.Name, quoteValues(c.Teams), shape, c.Priority, joinValues(c.Arrivals), c.Tasks, c.Run, c.Error, c.Cores, c.Accels, c.RAM, c.Image, c.ImageGB)
 	if c.Images > 0 {
 		s += fmt.Sprintf(" (images %d)", c.Images)
 	}
--- a/internal/lab/hunt.go
+++ b/internal/lab/hunt.go
@@ -33,13 +33,13 @@
 	pick := func(kinds ...string) string { return kinds[rng.IntN(len(kinds))] }
 	e.Classes = []Class{
 		{Name: "proof", Teams: []string{pick("desk", "plates")}, Shape: protocol.Service, Priority: "critical", Arrivals: []Arrivals{{Kind: "start", Count: 2 + rng.IntN(6)}},
-			Tasks: Distribution{Kind: "uniform", A: 1, B: 5}, RunTime: Distribution{Kind: "const", A: 1}, Cores: 4, RAM: 8, Image: "proof", ImageGB: 2, Scatter: rng.IntN(2) == 0, Cancelled: 0.1},
+			Tasks: Distribution{Kind: "uniform", A: 1, B: 5}, Run: Distribution{Kind: "const", A: 1}, Cores: 4, RAM: 8, Image: "proof", ImageGB: 2, Scatter: rng.IntN(2) == 0, Cancelled: 0.1},
 		{Name: "render", Teams: []string{pick("desk", "archive")}, Shape: protocol.Array, Priority: protocol.Priority(pick("normal", "high")),
 			Arrivals: []Arrivals{{Kind: "poisson", Gap: time.Duration(4+rng.IntN(20)) * time.Second}}, Tasks: Distribution{Kind: "uniform", A: 1, B: 8},
-			RunTime: Distribution{Kind: "lognormal", A: 25, B: 0.7}, EstimateError: 0.4, Cores: 4, RAM: 12, Image: "render", ImageGB: 4, Spot: rng.IntN(2) == 0,
+			Run: Distribution{Kind: "lognormal", A: 25, B: 0.7}, Error: 0.4, Cores: 4, RAM: 12, Image: "render", ImageGB: 4, Spot: rng.IntN(2) == 0,
 			Cancelled: 0.1, Chained: 0.15, Mistaken: 0.03},
 		{Name: "learn", Teams: []string{"plates"}, Shape: protocol.Gang, Priority: "normal", Arrivals: []Arrivals{{Kind: "poisson", Gap: time.Duration(20+rng.IntN(50)) * time.Second}},
-			Tasks: Distribution{Kind: "uniform", A: 2, B: 6}, RunTime: Distribution{Kind: "lognormal", A: 60, B: 0.5}, EstimateError: 0.4, Cores: 8, RAM: 32, Image: "learn", ImageGB: 6,
+			Tasks: Distribution{Kind: "uniform", A: 2, B: 6}, Run: Distribution{Kind: "lognormal", A: 60, B: 0.5}, Error: 0.4, Cores: 8, RAM: 32, Image: "learn", ImageGB: 6,
 			CheckpointEvery: 20 * time.Second, CheckpointTime: 3 * time.Second, Spot: true, OneZone: rng.IntN(2) == 0, Cancelled: 0.1},
 	}
 	if rng.IntN(3) == 0 {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -126,7 +126,7 @@
 
 func (c *Class) planJob(at time.Duration, rng *rand.Rand) plannedJob {
 	tasks := int(min(protocol.MaxTasks, max(1, math.Round(c.Tasks.sample(rng)))))
-	run := max(1, c.RunTime.sample(rng))
+	run := max(1, c.Run.sample(rng))
 	team := c.Teams[0]
 	if len(c.Teams) > 1 {
 		team = c.Teams[rng.IntN(len(c.Teams))]
@@ -149,8 +149,8 @@
 		return o
 	}
 	s.EstimateS = run
-	if c.EstimateError > 0 {
-		s.EstimateS *= distuv.LogNormal{Sigma: c.EstimateError, Src: rng}.Rand()
+	if c.Error > 0 {
+		s.EstimateS *= distuv.LogNormal{Sigma: c.Error, Src: rng}.Rand()
 	}
 	if c.DeadlineFactor > 0 {
 		due := c.DeadlineFactor * run
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -104,7 +104,7 @@
 // Play plays a run whose files are in a directory: it reads run.json and writes the
 // events and the summary. For virtual time it must be called in a bubble of
 // testing/synctest.
-func Execute(ctx context.Context, dir string, progress func(share float64)) error {
+func ExecuteRun(ctx context.Context, dir string, progress func(share float64)) error {
 	r, err := readRun(dir)
 	if err != nil {
 		return err
