--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -184,24 +184,24 @@
 	if active {
 		b.cuts[name] = separates
 	}
-	all := make([]func(from, to string) bool, 0, len(b.cuts))
+	predicates := make([]func(from, to string) bool, 0, len(b.cuts))
 	for _, c := range b.cuts {
-		all = append(all, c)
+		predicates = append(predicates, c)
 	}
 	b.net.Sever(func(from, to string) bool {
-		return slices.ContainsFunc(all, func(c func(from, to string) bool) bool { return c(from, to) })
+		return slices.ContainsFunc(predicates, func(c func(from, to string) bool) bool { return c(from, to) })
 	})
 }
 
 // host is the host that an address on pipes belongs to, and the role it is reached in.
-func splitAddress(addr string) (role, name string) {
-	addr = strings.TrimSuffix(addr, ":1")
+func splitAddress(address string) (role, name string) {
+	address = strings.TrimSuffix(address, ":1")
 	for _, role := range []string{"front", "inner", "worker", "state"} {
-		if name, ok := strings.CutPrefix(addr, role+"-"); ok {
+		if name, ok := strings.CutPrefix(address, role+"-"); ok {
 			return role, name
 		}
 	}
-	return addr, ""
+	return address, ""
 }
 
 // cutNode cuts a controller from its workers, its siblings, these and the state service, or
--- a/internal/lab/faults_begin.go
+++ b/internal/lab/faults_begin.go
@@ -174,12 +174,12 @@
 	case "machines":
 		trouble := r.fault.Args[0]
 		count, _ := strconv.Atoi(r.fault.Args[1])
-		struck := r.world.StrikeSome(count, machineTroubles[trouble], func(string, bool) bool { return true })
+		affected := r.world.StrikeSome(count, machineTroubles[trouble], func(string, bool) bool { return true })
 		if len(r.fault.Args) < 3 || troubleEnds[trouble] == "" {
 			r.markEnded()
 			break
 		}
-		r.endTroubleAfter(r.durationArg(2), struck, troubleEnds[trouble])
+		r.endTroubleAfter(r.durationArg(2), affected, troubleEnds[trouble])
 	case "spot-wave":
 		r.spotWave()
 	default:
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -42,7 +42,7 @@
 // newDoor opens a door whose uploads are kept in a directory, until ctx ends.
 func newGateway(ctx context.Context, w *emulator.World, b *emulator.Balancer, dir string, queues pbs.Queues) (*gateway, error) {
 	name := filepath.Join(dir, uploadsFile)
-	specs, whole, err := readUploads(name)
+	specs, completeBytes, err := readUploads(name)
 	if err != nil {
 		return nil, err
 	}
@@ -53,16 +53,16 @@
 	}
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY, 0o600)
 	if err == nil {
-		err = f.Truncate(whole) // a line that a kill cut short was answered to nobody
+		err = f.Truncate(completeBytes) // a line that a kill cut short was answered to nobody
 	}
 	if err == nil {
-		_, err = f.Seek(whole, io.SeekStart)
+		_, err = f.Seek(completeBytes, io.SeekStart)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("uploads: %w", err)
 	}
-	d := &gateway{world: w, queues: queues, uploads: make(chan upload)}
-	d.proxy = &httputil.ReverseProxy{
+	g := &gateway{world: w, queues: queues, uploads: make(chan upload)}
+	g.proxy = &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.Out.URL.Scheme, r.Out.URL.Host = "http", "daledyke"
 		},
@@ -77,7 +77,7 @@
 		defer f.Close()
 		for {
 			select {
-			case u := <-d.uploads:
+			case u := <-g.uploads:
 				var err error
 				if !recorded[u.spec.ID] { // users send a job again until it is answered
 					err = appendUpload(f, u.spec)
@@ -89,7 +89,7 @@
 			}
 		}
 	}()
-	return d, nil
+	return g, nil
 }
 
 func appendUpload(f *os.File, s *protocol.JobSpec) error {
@@ -102,7 +102,7 @@
 
 // readUploads reads the descriptions that were kept, and how many bytes of the file are
 // whole lines.
-func readUploads(name string) (specs []*protocol.JobSpec, whole int64, err error) {
+func readUploads(name string) (specs []*protocol.JobSpec, completeBytes int64, err error) {
 	f, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, nil
@@ -115,7 +115,7 @@
 	for n := 1; ; n++ {
 		line, err := lines.ReadBytes('\n')
 		if err == io.EOF {
-			return specs, whole, nil
+			return specs, completeBytes, nil
 		}
 		s := &protocol.JobSpec{}
 		if err == nil {
@@ -125,7 +125,7 @@
 			return nil, 0, fmt.Errorf("%s: line %d: %w", name, n, err)
 		}
 		specs = append(specs, s)
-		whole += int64(len(line))
+		completeBytes += int64(len(line))
 	}
 }
 
@@ -139,7 +139,7 @@
 	return func(int) time.Duration { return run }
 }
 
-func (d *gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost && (r.URL.Path == "/v1/jobs" || r.URL.Path == "/pbs/jobs") {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 		if err != nil {
@@ -147,10 +147,10 @@
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if s := d.parseSubmission(r, body); s != nil {
+		if s := g.parseSubmission(r, body); s != nil {
 			u := upload{s, make(chan error, 1)}
 			select {
-			case d.uploads <- u:
+			case g.uploads <- u:
 				err = <-u.result
 			case <-r.Context().Done():
 				return
@@ -160,15 +160,15 @@
 				http.Error(w, `{"error":"the description is not kept"}`, http.StatusServiceUnavailable)
 				return
 			}
-			d.world.Upload(s, estimatedRunTime(s), false)
+			g.world.Upload(s, estimatedRunTime(s), false)
 		}
 	}
-	d.proxy.ServeHTTP(w, r)
+	g.proxy.ServeHTTP(w, r)
 }
 
 // describe is the job that a submission is for, nil if it is senseless: the controllers
 // say so.
-func (d *gateway) parseSubmission(r *http.Request, body []byte) *protocol.JobSpec {
+func (g *gateway) parseSubmission(r *http.Request, body []byte) *protocol.JobSpec {
 	if r.URL.Path == "/v1/jobs" {
 		s, err := protocol.ParseJob(body)
 		if err != nil {
@@ -180,7 +180,7 @@
 	if err != nil {
 		return nil
 	}
-	j, err := pbs.Translate(string(body), command, d.queues, pbs.IDOf(r.Header.Get("Idempotency-Key")), time.Now().UTC())
+	j, err := pbs.Translate(string(body), command, g.queues, pbs.IDOf(r.Header.Get("Idempotency-Key")), time.Now().UTC())
 	if err != nil {
 		return nil
 	}
--- a/internal/lab/hunt.go
+++ b/internal/lab/hunt.go
@@ -103,8 +103,8 @@
 		at += time.Duration(rng.Int64N(int64(maxDelay)))
 		return at.Round(100 * time.Millisecond)
 	}
-	lasts := func(about time.Duration) string {
-		return (about/2 + time.Duration(rng.Int64N(int64(about)))).Round(100 * time.Millisecond).String()
+	about := func(nominal time.Duration) string {
+		return (nominal/2 + time.Duration(rng.Int64N(int64(nominal)))).Round(100 * time.Millisecond).String()
 	}
 	crash := func(name string) Fault {
 		downTime := []string{"200ms", "700ms", "5s", "20s"}[rng.IntN(4)]
@@ -113,37 +113,37 @@
 	count := fmt.Sprint(2 + rng.IntN(8))
 	switch rng.IntN(11) {
 	case 0: // the state service refuses one alone and then is away for all, and somebody may end
-		all := []Fault{{At: nextTime(time.Second), Kind: "state-refuses", Args: []string{lasts(d.Lease / 2), node}},
-			{At: nextTime(8 * time.Second), Kind: "state-outage", Args: []string{lasts(d.CancelWithin * 3 / 2)}}}
+		all := []Fault{{At: nextTime(time.Second), Kind: "state-refuses", Args: []string{about(d.Lease / 2), node}},
+			{At: nextTime(8 * time.Second), Kind: "state-outage", Args: []string{about(d.CancelWithin * 3 / 2)}}}
 		if rng.IntN(2) == 0 {
 			all = append(all, crash(other))
 		}
 		return all
 	case 1: // one has its workers and users alone, and another ends
-		return []Fault{{At: nextTime(time.Second), Kind: "cut", Args: []string{lasts(d.CancelWithin), node, "services"}}, crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "cut", Args: []string{about(d.CancelWithin), node, "services"}}, crash(other)}
 	case 2: // machines don't hear, or don't reach, who comes after one that ended
-		return []Fault{{At: nextTime(time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, lasts(d.Lease)}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, about(d.Lease)}}, crash(node), crash(other)}
 	case 3: // the state service is slow before it is away
-		return []Fault{{At: nextTime(time.Second), Kind: "state-slow", Args: []string{lasts(10 * time.Second), lasts(time.Second)}},
-			{At: nextTime(10 * time.Second), Kind: "state-outage", Args: []string{lasts(d.CancelWithin)}}}
+		return []Fault{{At: nextTime(time.Second), Kind: "state-slow", Args: []string{about(10 * time.Second), about(time.Second)}},
+			{At: nextTime(10 * time.Second), Kind: "state-outage", Args: []string{about(d.CancelWithin)}}}
 	case 4: // all end, one returns, and ends again
-		return []Fault{{At: nextTime(time.Second), Kind: "crash", Args: []string{lasts(4 * time.Second), "all"}}, crash(node), crash(node)}
+		return []Fault{{At: nextTime(time.Second), Kind: "crash", Args: []string{about(4 * time.Second), "all"}}, crash(node), crash(node)}
 	case 5: // transactions are carried out late while controllers end
-		return []Fault{{At: nextTime(time.Second), Kind: "state-late", Args: []string{lasts(12 * time.Second), lasts(6 * time.Second)}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "state-late", Args: []string{about(12 * time.Second), about(6 * time.Second)}}, crash(node), crash(other)}
 	case 6: // commands are held up while machines change hands, and some of them don't hear
-		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{lasts(d.Lease * 2), "0.5"}}, crash(node),
-			{At: nextTime(5 * time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, lasts(d.Lease)}}, crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{about(d.Lease * 2), "0.5"}}, crash(node),
+			{At: nextTime(5 * time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, about(d.Lease)}}, crash(other)}
 	case 7: // what was done is not heard of, and whoever asked for it ends
-		return []Fault{{At: nextTime(time.Second), Kind: "state-unheard", Args: []string{lasts(20 * time.Second), "0.4"}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "state-unheard", Args: []string{about(20 * time.Second), "0.4"}}, crash(node), crash(other)}
 	case 8: // copies of reports are kept, and come as somebody has just begun
-		return []Fault{{At: nextTime(time.Second), Kind: "kept-reports", Args: []string{lasts(d.Lease / 2)}}, crash(node), crash(other)}
+		return []Fault{{At: nextTime(time.Second), Kind: "kept-reports", Args: []string{about(d.Lease / 2)}}, crash(node), crash(other)}
 	case 9: // machines reboot while commands are held up, and who sent these ends
 		reboot := func() Fault {
 			return Fault{At: nextTime(6 * time.Second), Kind: "machines", Args: []string{"reboot", count}}
 		}
-		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{lasts(d.Lease * 2), "0.5"}}, reboot(), crash(node), reboot(), crash(other), reboot()}
+		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{about(d.Lease * 2), "0.5"}}, reboot(), crash(node), reboot(), crash(other), reboot()}
 	default: // copies of old reports come to who has just begun
-		return []Fault{{At: nextTime(time.Second), Kind: "echoes", Args: []string{lasts(d.Lease * 2), lasts(d.Lease)}}, crash(node),
+		return []Fault{{At: nextTime(time.Second), Kind: "echoes", Args: []string{about(d.Lease * 2), about(d.Lease)}}, crash(node),
 			{At: nextTime(5 * time.Second), Kind: "machines", Args: []string{"reboot", count}}}
 	}
 }
@@ -248,18 +248,18 @@
 // Shrink makes an experiment smaller for as long as it still breaks, with so many tries
 // at most. breaks is asked for one experiment after the other.
 func Shrink(e *Experiment, tries int, breaks func(*Experiment) (bool, error)) (*Experiment, error) {
-	for again := true; again; {
-		again = false
+	for progressed := true; progressed; {
+		progressed = false
 		for _, smaller := range Reductions(e) {
 			if tries--; tries < 0 {
 				return e, nil
 			}
-			still, err := breaks(smaller)
+			broken, err := breaks(smaller)
 			if err != nil {
 				return e, err
 			}
-			if still {
-				e, again = smaller, true
+			if broken {
+				e, progressed = smaller, true
 				break
 			}
 		}
@@ -303,25 +303,25 @@
 		}
 		o.Printf("%s: BROKEN: %v (%s)", e.Name, broken[0], faultList(e))
 		rule, tried := broken[0].Rule, 0
-		last := broken
-		small, err := Shrink(e, shrinkTries, func(c *Experiment) (bool, error) {
+		violations := broken
+		shrunk, err := Shrink(e, shrinkTries, func(c *Experiment) (bool, error) {
 			tried++
 			at := filepath.Join(dir, fmt.Sprintf("%s-try%d", e.Name, tried))
 			defer os.RemoveAll(at)
-			now, _, err := r.findViolations(ctx, c, at)
-			still := slices.ContainsFunc(now, func(v history.Violation) bool { return v.Rule == rule })
+			again, _, err := r.findViolations(ctx, c, at)
+			still := slices.ContainsFunc(again, func(v history.Violation) bool { return v.Rule == rule })
 			if still {
-				last = now
+				violations = again
 			}
 			return still, err
 		})
-		f := Finding{Experiment: small, Broken: last, File: filepath.Join(dir, e.Name+".edn")}
-		text := fmt.Sprintf("; %s\n; made smaller in %d tries\n%s", f.Broken[0], tried, small)
+		f := Finding{Experiment: shrunk, Broken: violations, File: filepath.Join(dir, e.Name+".edn")}
+		text := fmt.Sprintf("; %s\n; made smaller in %d tries\n%s", f.Broken[0], tried, shrunk)
 		if werr := os.WriteFile(f.File, []byte(text), 0o600); werr != nil {
 			return found, werr
 		}
 		found = append(found, f)
-		o.Printf("saved as %s: %d classes; %s", f.File, len(small.Classes), faultList(small))
+		o.Printf("saved as %s: %d classes; %s", f.File, len(shrunk.Classes), faultList(shrunk))
 		if err != nil {
 			return found, err
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -62,7 +62,7 @@
 
 // An experiment with faults inside each other is played, kept, and made a page of; its
 // events are whole and keep the rules when they are checked again.
-func TestAnExperimentIsPlayed(t *testing.T) {
+func TestExperimentRunsEndToEnd(t *testing.T) {
 	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 // The state service vanishes while a crowd of jobs is taken and placed, and returns; half
 // of the controllers are killed meanwhile, and machines come late and unexpected. Every job
 // gets one final answer, and is done once.
-func TestStateServiceVanishesDuringPlacement(t *testing.T) {
+func TestStateServiceOutageDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "vanishes" (controllers 4) (machines 30) (length "90s") (rest "4m")
 			(class "render" (arrivals (burst "20s" 60)) (tasks (uniform 1 3)) (run (uniform 5 20)) (cores 2))
@@ -178,7 +178,7 @@
 }
 
 // A run whose process fails leaves no result, and its last words are told.
-func TestARunThatFails(t *testing.T) {
+func TestFailedRunLeavesNoResult(t *testing.T) {
 	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
@@ -195,12 +195,12 @@
 }
 
 // The same seed gives the same jobs, whatever other classes there are.
-func TestOrdersRepeat(t *testing.T) {
+func TestPlannedJobsAreReproducible(t *testing.T) {
 	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := func(e *Experiment, class string) (s string) {
+	jobsOfClass := func(e *Experiment, class string) (s string) {
 		for _, o := range e.plannedJobs(7) {
 			if o.spec.Class == class {
 				s += fmt.Sprint(o.submitAt, o.runTimes, o.spec.Tasks, o.spec.EstimateS, o.cancelAfter, ";")
@@ -208,9 +208,9 @@
 		}
 		return s
 	}
-	first := of(e, "render")
+	first := jobsOfClass(e, "render")
 	e.Classes = e.Classes[1:]
-	if again := of(e, "render"); again != first || first == "" {
+	if again := jobsOfClass(e, "render"); again != first || first == "" {
 		t.Error("the jobs of a class depend on other classes")
 	}
 	counts := map[string]int{}
@@ -256,11 +256,11 @@
 	if d := again.deployment(); d.Lease != 30*time.Second || len(d.Types) != 2 || d.Types[0].Zones[1] != "v" || d.MaxByType["big"] != 3 || d.State.TxnOps != 9 || d.Teams[0].CoresMax != 64 {
 		t.Errorf("%+v", d)
 	}
-	ready, err := filepath.Glob("../../deploy/lab/*.edn")
-	if err != nil || len(ready) < 3 {
-		t.Errorf("ready experiments: %v, %v", ready, err)
+	shipped, err := filepath.Glob("../../deploy/lab/*.edn")
+	if err != nil || len(shipped) < 3 {
+		t.Errorf("ready experiments: %v, %v", shipped, err)
 	}
-	for _, file := range ready {
+	for _, file := range shipped {
 		if _, err := Load(file); err != nil {
 			t.Error(err)
 		}
@@ -324,15 +324,15 @@
 	asked := 0
 	got, err := Shrink(e, 200, func(c *Experiment) (bool, error) {
 		asked++
-		there := false
+		hasFault := false
 		for _, f := range c.Faults {
-			there = there || f.Kind == "cloud-outage" && f.Args[0] == "7s"
+			hasFault = hasFault || f.Kind == "cloud-outage" && f.Args[0] == "7s"
 		}
-		learns := false
+		hasClass := false
 		for _, k := range c.Classes {
-			learns = learns || k.Name == "learn"
+			hasClass = hasClass || k.Name == "learn"
 		}
-		return there && learns, c.validate()
+		return hasFault && hasClass, c.validate()
 	})
 	if err != nil || len(got.Faults) != 1 || len(got.Classes) != 1 || got.Classes[0].Name != "learn" || got.Length > 4*time.Minute || got.Machines > 3 || got.Scale > 0.1 || asked > 200 {
 		t.Errorf("%v after %d tries: %v", err, asked, got)
@@ -353,11 +353,11 @@
 	if err := os.WriteFile(fake, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	var said []string
+	var lines []string
 	found, err := Hunt(t.Context(), &Runner{Dir: dir, Command: []string{"/bin/sh", fake}}, HuntOptions{Seed: 1, Runs: 10, Length: 4 * time.Minute,
-		Printf: func(format string, args ...any) { said = append(said, fmt.Sprintf(format, args...)) }})
+		Printf: func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }})
 	if err != nil || len(found) == 0 || len(found) == 10 {
-		t.Fatalf("%d found, %v: %v", len(found), err, said)
+		t.Fatalf("%d found, %v: %v", len(found), err, lines)
 	}
 	for _, f := range found {
 		e, err := Load(f.File)
@@ -369,7 +369,7 @@
 
 // A hunt varies the experiments in which cancelled work remained longest: here runs with more faults
 // are told to come closer to the bound, and every other experiment has those of one that came close.
-func TestHuntVariesWhatCameClose(t *testing.T) {
+func TestHuntMutatesNearMisses(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "hunt")
 	fake := filepath.Join(t.TempDir(), "fake.sh")
 	script := `N=$(grep -o '(at ' "$1/run.json" | wc -l)
@@ -405,7 +405,7 @@
 }
 
 // Mutated experiments can be played, are written as they are read, and differ from what they come from.
-func TestMutatedExperimentsAreSound(t *testing.T) {
+func TestMutatedExperimentsAreValid(t *testing.T) {
 	for seed := range uint64(60) {
 		e := Random(seed%7, 5*time.Minute)
 		was := e.String()
@@ -475,7 +475,7 @@
 }
 
 // Faults of one kind that overlap end when the last of them does.
-func TestFaultsOverlap(t *testing.T) {
+func TestOverlappingFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "overlap" (controllers 1) (machines 2) (length "40s") (rest "20s")
 			(class "render" (arrivals (burst "12s" 1)))
@@ -484,14 +484,14 @@
 			t.Fatal(err)
 		}
 		var nodes []string
-		ended := time.Duration(0)
+		firstRental := time.Duration(0)
 		_, err = execute(context.Background(), e, "", 1, t.TempDir(), func(ev history.Event) {
 			switch ev.Kind {
 			case history.NodeUp, history.NodeDown:
 				nodes = append(nodes, fmt.Sprint(ev.At.Round(time.Second), ev.Kind))
 			case history.Rented:
-				if ended == 0 {
-					ended = ev.At
+				if firstRental == 0 {
+					firstRental = ev.At
 				}
 			}
 		}, func(float64) {})
@@ -501,8 +501,8 @@
 		if got := strings.Join(nodes, " "); got != "0snode-up 20snode-down 32snode-up" {
 			t.Errorf("controllers: %s", got)
 		}
-		raw, _ := json.Marshal(ended)
-		if ended < 25*time.Second {
+		raw, _ := json.Marshal(firstRental)
+		if firstRental < 25*time.Second {
 			t.Errorf("rented at %s, in an outage of the cloud", raw)
 		}
 	})
--- a/internal/lab/hosts_test.go
+++ b/internal/lab/launcher_test.go
@@ -11,12 +11,12 @@
 
 // A connection that goes out while a controller is not there, by the very port that is the
 // controller's, does not keep it from coming up.
-func TestAPortStaysItsControllers(t *testing.T) {
-	world, err := net.Listen("tcp", "127.0.0.1:0")
+func TestOutgoingConnectionLeavesControllerPortUsable(t *testing.T) {
+	remote, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer world.Close()
+	defer remote.Close()
 	ports, err := freePorts(4)
 	if err != nil {
 		t.Fatal(err)
@@ -30,37 +30,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := (&net.Dialer{LocalAddr: from}).Dial("tcp", world.Addr().String())
+		outgoing, err := (&net.Dialer{LocalAddr: from}).Dial("tcp", remote.Addr().String())
 		if err != nil {
 			t.Logf("port %s is another's: %v", port, err) // by chance
 			continue
 		}
-		defer out.Close()
-		door, err := net.Listen("tcp", addr)
+		defer outgoing.Close()
+		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			t.Errorf("the controller of %s can't come up: %v", addr, err)
 			continue
 		}
-		door.Close()
+		listener.Close()
 	}
-	if out, err := net.Dial("tcp", world.Addr().String()); err != nil || !strings.HasPrefix(out.LocalAddr().String(), "127.0.0.1:") {
-		t.Errorf("connections go out from %v: %v", out, err)
+	if outgoing, err := net.Dial("tcp", remote.Addr().String()); err != nil || !strings.HasPrefix(outgoing.LocalAddr().String(), "127.0.0.1:") {
+		t.Errorf("connections go out from %v: %v", outgoing, err)
 	}
 }
 
 // A controller that ends by itself is told with what it said last.
-func TestOneThatEndsByItselfIsHeard(t *testing.T) {
-	dir, told := t.TempDir(), make(chan error, 1)
+func TestUnexpectedControllerExitIsReported(t *testing.T) {
+	dir, reported := t.TempDir(), make(chan error, 1)
 	program := filepath.Join(dir, "program")
 	if err := os.WriteFile(program, []byte("#!/bin/sh\necho listen: address already in use >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	h := &processLauncher{program: program, files: map[string]string{"a": "a.toml"}, logs: dir, running: map[string]*process{}, exited: func(_ string, err error) { told <- err }}
-	if err := h.start("a"); err != nil {
+	l := &processLauncher{program: program, files: map[string]string{"a": "a.toml"}, logs: dir, running: map[string]*process{}, exited: func(_ string, err error) { reported <- err }}
+	if err := l.start("a"); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case err := <-told:
+	case err := <-reported:
 		if text := err.Error(); !strings.Contains(text, "exit status 3") || !strings.Contains(text, "address already in use") {
 			t.Error(text)
 		}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -296,7 +296,7 @@
 		})
 	}
 	total := e.Length + e.Rest
-	over := time.After(total)
+	end := time.After(total)
 	ticks := time.NewTicker(sampleInterval)
 	defer ticks.Stop()
 	for {
@@ -308,7 +308,7 @@
 		case <-ticks.C:
 			bed.world.Sample()
 			progress(math.Min(1, time.Since(began).Seconds()/total.Seconds()))
-		case <-over:
+		case <-end:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
