--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -11,93 +11,91 @@
 	"daledyke/internal/protocol"
 )
 
-// Experiment is what is tried: a deployment, its load, what fails, and what is compared.
+// Experiment describes a deployment, its load, the faults injected into it, and the variants that are compared.
 type Experiment struct {
 	Name string
-	// Real: on loopback in real time, with processes; else in virtual time.
+	// RealTime runs the controllers as processes on loopback in real time; otherwise they run in this process in
+	// virtual time.
 	RealTime    bool
 	Controllers int
 	Machines    int
 	Length      time.Duration
-	// Rest is for how long, after Length, no new work comes and nothing more fails.
+	// Rest is the period after Length without new submissions and new faults.
 	Rest     time.Duration
 	Seeds    []uint64
 	Classes  []Class
 	Faults   []Fault
 	Versions []Version
-	// Vary are the values of a setting that are gone through, one after the other.
+	// Vary lists the settings that vary between runs; every combination of their values is run.
 	Vary []Variable
-	// Scale multiplies the numbers of jobs.
+	// Scale multiplies the number of jobs.
 	Scale float64
-	// Served is the least share of any class's and any team's work that must be served, 0
-	// for none.
+	// MinServed is the share of the work of each class and each team that must be served; 0 requires none.
 	MinServed float64
-	// Own is what the deployment has instead of the example's.
+	// Overrides replace settings of the example deployment.
 	Overrides Overrides
 }
 
-// Version is a built program that is compared; the first is what the others are compared
-// with. Experiments in virtual time have only this one, with no path.
+// Version is a built program under comparison; the first version of an experiment is the baseline. In virtual
+// time the only version is the running program, without a path.
 type Version struct{ Name, Path string }
 
-// Variable is a setting that varies: controllers, machines, scale, or size, which
-// multiplies both machines and scale.
+// Variable is a setting that varies: controllers, machines, scale, or size, which multiplies both machines and
+// scale.
 type Variable struct {
 	Name   string
 	Values []float64
 }
 
-// Class is a kind of work.
+// Class describes jobs of one kind.
 type Class struct {
 	Name string
-	// Teams are whose jobs they are, one drawn for each.
+	// Teams are the possible teams of a job; each job gets one at random.
 	Teams    []string
 	Shape    protocol.Shape
 	Priority protocol.Priority
 	Arrivals []Arrivals
 	Tasks    Distribution
-	// Run is a task's run time in seconds on a machine of nominal speed.
+	// Run is the distribution of a task's run time in seconds on a machine of nominal speed.
 	Run Distribution
-	// Error is the sigma of the factor by which owners err about run times.
+	// Error is the sigma of the lognormal factor between a job's run time and its owner's estimate.
 	Error              float64
 	Cores, Accels, RAM float64
 	Image              string
 	ImageGB            float64
-	// Images is how many images of that size there are; a job has one of them.
+	// Images is the number of images of that size; each job uses one of them.
 	Images int
-	// Types are the machine types that its tasks may be on, nil for any.
+	// Types are the machine types that tasks may run on; nil allows all.
 	Types                           []string
 	CheckpointEvery, CheckpointTime time.Duration
 	Spot                            bool
 	OneZone, Scatter                bool
-	// Due is a job's deadline in run times, 0 for none.
+	// DeadlineFactor is a job's deadline as a multiple of its run time; 0 for none.
 	DeadlineFactor float64
-	// Cancelled, Chained and Mistaken are the shares of jobs that their users cancel, that
-	// need the one before, and that are submitted with a mistake.
+	// Cancelled, Chained and Mistaken are the shares of jobs that are cancelled by their users, that depend on
+	// the previous job of the class, and that are submitted with a mistake.
 	Cancelled, Chained, Mistaken float64
 }
 
-// Arrivals say when jobs of a class come.
+// Arrivals describe when the jobs of a class are submitted.
 type Arrivals struct {
-	// Kind is one of start (Count jobs in the first seconds), poisson (one every Gap on
-	// average), burst (Count at once, at At) and swing (as poisson, but more and less often by
-	// Depth over a Period).
+	// Kind is one of start (Count jobs in the first seconds), poisson (one every Gap on average), burst (Count at
+	// once, at At) and swing (as poisson, with a rate that varies sinusoidally by Depth over each Period).
 	Kind            string
 	Count           int
 	Gap, At, Period time.Duration
 	Depth           float64
 }
 
-// Draw is a number or a distribution: const (A), uniform (from A to B), lognormal (of
-// median A and sigma B), exponential (of mean A), pareto (of least A and index B) or
-// choice (of values, each with its weight).
+// Distribution is a constant or a distribution: const (A), uniform (from A to B), lognormal (median A, sigma B),
+// exponential (mean A), pareto (minimum A, index B) or choice (values with weights).
 type Distribution struct {
 	Kind   string
 	A, B   float64
-	Values []float64 // of a choice: value, weight, value, weight, ...
+	Values []float64 // for choice: value, weight, value, weight, ...
 }
 
-// Fault is something that fails at a time, for as long as it says.
+// Fault is a failure that is injected at a time; its arguments give the duration and the target.
 type Fault struct {
 	At   time.Duration
 	Kind string
@@ -106,7 +104,7 @@
 
 func (f Fault) String() string { return f.Kind + " " + strings.Join(f.Args, " ") }
 
-// check tells what does not go together.
+// validate reports contradictions within the experiment.
 func (e *Experiment) validate() error {
 	switch {
 	case len(e.Classes) == 0:
--- a/internal/lab/experiment_parse.go
+++ b/internal/lab/experiment_parse.go
@@ -16,9 +16,9 @@
 	"daledyke/internal/protocol"
 )
 
-// Experiments as they are read from their S-expressions.
+// Parsing of experiments, which are S-expressions in EDN.
 
-// Load reads an experiment from a file. An error tells the line.
+// Load reads an experiment from a file. A parse error names the line.
 func Load(file string) (*Experiment, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return e, nil
 }
 
-// Parse reads an experiment.
+// Parse parses and validates an experiment.
 func Parse(raw []byte) (*Experiment, error) {
 	e := &Experiment{Controllers: 3, Machines: 40, Length: 10 * time.Minute, Rest: 3 * time.Minute, Seeds: []uint64{1}, Scale: 1}
 	var form []edn.RawMessage
@@ -55,7 +55,7 @@
 	return s != "" && len(s) < 80 && strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.") == ""
 }
 
-// words reads a list into a symbol and its values as text.
+// parseForm splits a list into its leading symbol and the text of its values.
 func parseForm(raw []byte) (head string, rest []string, err error) {
 	var form []edn.RawMessage
 	var symbol edn.Symbol
@@ -66,7 +66,7 @@
 	return string(symbol), rest, err
 }
 
-// texts are values as text, all of it printable.
+// valueTexts returns values as text and rejects unprintable characters.
 func valueTexts(raw []edn.RawMessage) (values []string, err error) {
 	for _, r := range raw {
 		v := valueText(r)
@@ -78,7 +78,7 @@
 	return values, nil
 }
 
-// text is a value as text: a string's, or as it is written.
+// valueText returns the contents of a string, or any other value as it is written.
 func valueText(raw []byte) string {
 	var s string
 	if edn.Unmarshal(raw, &s) == nil {
@@ -111,7 +111,7 @@
 	return v, nil
 }
 
-// one is the only value of an entry.
+// singleValue returns the only value of an entry.
 func singleValue(values []string) (string, error) {
 	if len(values) != 1 {
 		return "", fmt.Errorf("one value is needed, not %d", len(values))
@@ -212,7 +212,7 @@
 	return d, err
 }
 
-// set takes one entry of an experiment.
+// setEntry applies one entry of an experiment file.
 func (e *Experiment) setEntry(item forms.Item, seen map[string]bool) (err error) {
 	head, values, err := parseForm(item.Raw)
 	if err != nil {
--- a/internal/lab/experiment_write.go
+++ b/internal/lab/experiment_write.go
@@ -7,9 +7,9 @@
 	"daledyke/internal/protocol"
 )
 
-// Experiments as they are written: read again, they are the same.
+// Formatting of experiments; parsing the output gives an equal experiment.
 
-// String writes an experiment as Parse reads it.
+// String formats the experiment in the syntax that Parse reads.
 func (e *Experiment) String() string {
 	var b strings.Builder
 	p := func(format string, args ...any) { fmt.Fprintf(&b, "\n  "+format, args...) }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -13,38 +13,38 @@
 	"daledyke/internal/history"
 )
 
-// What can fail, and with which arguments. A TIME is how long it lasts.
+// faultParameters lists the kinds of faults with their parameters. TIME is the duration of the fault.
 var faultParameters = map[string]string{
-	"state-outage":  "TIME",            // the state service is away for all
-	"state-refuses": "TIME NODE",       // one controller gets 503
-	"state-slow":    "TIME BY",         // answers take so long
-	"state-late":    "TIME BY",         // transactions are applied so much later, unanswered
-	"state-unheard": "TIME SHARE",      // that share of transactions is carried out, and the answer lost
-	"state-lags":    "TIME NODE BY",    // one controller hears of changes late
-	"state-writes":  "TIME SHARE",      // its rate of changes falls to a share
-	"cloud-outage":  "TIME",            // the cloud is away
-	"cloud-late":    "TIME BY",         // rentals and returns are carried out so much later, unanswered
-	"capacity":      "TIME SHARE",      // there are so many of the machines
-	"boots":         "TIME FACTOR",     // machines rented meanwhile boot so much slower; 0: at once
-	"crash":         "TIME NODE",       // killed, and started again after TIME; all: all of them
-	"hangs":         "TIME NODE",       // stopped, and let go on (real time)
-	"cut":           "TIME NODE WHAT",  // from workers, siblings, services (the state service and siblings) or all (virtual time)
-	"cut-zone":      "TIME ZONE",       // what is in it from all else (virtual time)
-	"echoes":        "TIME BY",         // copies of reports come so much later
-	"late-commands": "TIME SHARE",      // that share of direct commands is held up for seconds, unanswered
-	"kept-reports":  "TIME",            // copies of reports are kept, and then reach every controller at once
-	"machines":      "TROUBLE N [FOR]", // N of them die, hang, deafen, hold or mute FOR, sicken, slow, reboot, leave or are taken
-	"spot-wave":     "SHARE",           // so many spot machines leave at once
-	"cancel-now":    "N [FOR]",         // users cancel N jobs that run; up to eight of their machines hang FOR
+	"state-outage":  "TIME",            // the state service is unavailable to all controllers
+	"state-refuses": "TIME NODE",       // one controller gets 503 from the state service
+	"state-slow":    "TIME BY",         // responses of the state service are delayed by BY
+	"state-late":    "TIME BY",         // transactions are applied after BY, without a response
+	"state-unheard": "TIME SHARE",      // this share of transactions is applied and the response lost
+	"state-lags":    "TIME NODE BY",    // one controller receives change notifications BY late
+	"state-writes":  "TIME SHARE",      // the state service's write rate falls to this share
+	"cloud-outage":  "TIME",            // the cloud service is unavailable
+	"cloud-late":    "TIME BY",         // rentals and returns are carried out after BY, without a response
+	"capacity":      "TIME SHARE",      // only this share of the machines can be rented
+	"boots":         "TIME FACTOR",     // machines rented meanwhile take FACTOR times as long to boot; 0: boot at once
+	"crash":         "TIME NODE",       // the controller is killed and restarted after TIME; NODE all: every controller
+	"hangs":         "TIME NODE",       // the controller's process is stopped and then resumed (real time only)
+	"cut":           "TIME NODE WHAT",  // the controller is cut off from workers, siblings, services (the state service and siblings) or all (virtual time only)
+	"cut-zone":      "TIME ZONE",       // the zone is cut off from everything outside it (virtual time only)
+	"echoes":        "TIME BY",         // copies of reports arrive BY later
+	"late-commands": "TIME SHARE",      // this share of direct commands is delayed for seconds, without a response
+	"kept-reports":  "TIME",            // copies of reports are kept, then delivered to every controller at once
+	"machines":      "TROUBLE N [FOR]", // N machines die, hang, deafen, hold or mute FOR, sicken, slow, reboot, leave or are taken
+	"spot-wave":     "SHARE",           // this share of the spot machines leaves at once
+	"cancel-now":    "N [FOR]",         // users cancel N running jobs; up to eight of the jobs' machines hang FOR
 }
 
 var machineTroubles = map[string]emulator.Trouble{"die": emulator.Dies, "hang": emulator.Hangs, "sicken": emulator.Sickens, "slow": emulator.Slows,
 	"leave": emulator.Leaves, "taken": emulator.Taken, "deafen": emulator.Deafens, "hold": emulator.Holds, "mute": emulator.Mutes, "reboot": emulator.Reboots}
 
-// ends are what ends a trouble that lasts.
+// troubleEnds maps each trouble with a duration to the one that ends it.
 var troubleEnds = map[string]emulator.Trouble{"hang": emulator.Resumes, "deafen": emulator.Hears, "hold": emulator.Hears, "mute": emulator.Speaks}
 
-// check tells what is senseless about a fault.
+// validate reports an unknown kind, wrong arguments, and a fault that the experiment's clock does not support.
 func (f Fault) validate(e *Experiment, d *Deployment) error {
 	form, known := faultParameters[f.Kind]
 	if !known {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// breaker carries faults out. Faults of the same kind may overlap: what they set counts
-// how many are under way, so that the first to end does not end the others.
+// faultInjector injects faults. Faults of the same kind may overlap: active counts those in progress, and the effect
+// ends with the last of them.
 type faultInjector struct {
 	deployment *Deployment
 	world      *emulator.World
@@ -110,20 +110,20 @@
 	cuts       map[string]func(from, to string) bool
 	note       func(history.Event)
 	fail       func(error)
-	// cancel has the user of a job cancel it; draw draws what is chosen by chance.
+	// cancel cancels a job as its user; rng makes the random choices.
 	cancel func(job string)
 	rng    *rand.Rand
 }
 
-// Users who cancel at once do so within cancelSpread; of the machines of their jobs at most
-// mostHung hang.
+// The simultaneous cancellations of a cancel-now fault spread over cancelSpread; at most maxHung machines of the
+// cancelled jobs hang.
 const (
 	cancelSpread = 200 * time.Millisecond
 	maxHung      = 8
 )
 
-// cancelNow has users cancel n of the jobs that run; it gives the machines of theirs that hang
-// from now on, none unless hang is set.
+// cancelNow cancels n running jobs as their users. If hang is set, it hangs some of the machines of these jobs and
+// returns them.
 func (b *faultInjector) cancelNow(n int, hang bool, after func(time.Duration, func())) (hung []string) {
 	var jobs, machines []string
 	b.world.Rules(func(r *history.Checker) {
@@ -149,7 +149,7 @@
 	return hung
 }
 
-// on is a value while something lasts, and none once it is over.
+// valueIf returns v if the condition holds, otherwise the zero value.
 func valueIf[T any](condition bool, v T) (result T) {
 	if condition {
 		result = v
@@ -168,7 +168,7 @@
 	b.note(history.Event{Kind: kind, Node: name})
 }
 
-// zones tells the zone of every host by its name.
+// zoneLookup returns a function from the name of a host to its zone.
 func (b *faultInjector) zoneLookup() func(host string) string {
 	return func(host string) string {
 		if zone := b.deployment.zone(host); zone != "" {
@@ -178,7 +178,7 @@
 	}
 }
 
-// cut sets or clears one cut among those that may hold.
+// setCut adds or removes one of the active network cuts.
 func (b *faultInjector) setCut(name string, active bool, separates func(from, to string) bool) {
 	delete(b.cuts, name)
 	if active {
@@ -193,7 +193,7 @@
 	})
 }
 
-// host is the host that an address on pipes belongs to, and the role it is reached in.
+// splitAddress splits an address on pipes into the role of the endpoint and the name of its host.
 func splitAddress(address string) (role, name string) {
 	address = strings.TrimSuffix(address, ":1")
 	for _, role := range []string{"front", "inner", "worker", "state"} {
@@ -204,8 +204,8 @@
 	return address, ""
 }
 
-// cutNode cuts a controller from its workers, its siblings, these and the state service, or
-// all but the users.
+// nodeCut returns the connections to cut for a controller: those with its workers, with its siblings, with its
+// siblings and the state service, or all but those of the users.
 func nodeCut(node, what string) func(from, to string) bool {
 	return func(from, to string) bool {
 		role, name := splitAddress(to)
@@ -224,8 +224,7 @@
 	}
 }
 
-// cutZone cuts what is in a zone from all that is not: the services and the users belong
-// to none.
+// zoneCut returns the connections that cross the boundary of a zone. The services and the users belong to no zone.
 func zoneCut(zone string, zoneOf func(host string) string) func(from, to string) bool {
 	return func(from, to string) bool {
 		_, name := splitAddress(to)
--- a/internal/lab/faults_begin.go
+++ b/internal/lab/faults_begin.go
@@ -9,7 +9,7 @@
 	"daledyke/internal/history"
 )
 
-// begin has a fault happen; after runs something later on the same goroutine.
+// inject begins a fault; after runs a function later on the same goroutine.
 func (b *faultInjector) inject(f Fault, after func(time.Duration, func())) {
 	b.note(history.Event{Kind: history.FaultBegins, Cause: f.String()})
 	duration, _ := time.ParseDuration(f.Args[0])
@@ -18,7 +18,7 @@
 		fault:         f,
 		after:         after,
 		duration:      duration,
-		// A crash of all ends with the first that is started, at the same moment as the others.
+		// A crash of all controllers ends once: they restart at the same moment, and the first records the end.
 		markEnded: sync.OnceFunc(func() { b.note(history.Event{Kind: history.FaultEnds, Cause: f.String()}) }),
 	}
 	for _, begin := range []func() bool{active.beginStateFault, active.beginCloudFault, active.beginControllerFault, active.beginMessageFault, active.beginMachineFault, active.beginUserFault} {
@@ -28,8 +28,8 @@
 	}
 }
 
-// faultRun is a fault that happens. Its methods that are named after what fails begin the faults of
-// that and tell whether it is one of these.
+// activeFault is a fault in progress. Each begin method handles the faults of one component and returns false for
+// other kinds.
 type activeFault struct {
 	*faultInjector
 	fault     Fault
@@ -38,7 +38,7 @@
 	markEnded func()
 }
 
-// during sets something for as long as any fault of this name lasts.
+// whileActive applies set while at least one fault with this name is in progress.
 func (r *activeFault) whileActive(name string, set func(active bool)) {
 	if r.active[name]++; r.active[name] == 1 {
 		set(true)
@@ -51,13 +51,13 @@
 	})
 }
 
-// number is an argument that is a share, a factor or a count.
+// floatArg returns an argument that is a share, a factor or a count.
 func (r *activeFault) floatArg(n int) float64 {
 	v, _ := strconv.ParseFloat(r.fault.Args[n], 64)
 	return v
 }
 
-// duration is an argument that is a time.
+// durationArg returns an argument that is a duration.
 func (r *activeFault) durationArg(n int) time.Duration {
 	v, _ := time.ParseDuration(r.fault.Args[n])
 	return v
@@ -88,7 +88,7 @@
 	return true
 }
 
-// limitWrites has the state service's rate of changes fall to a share.
+// limitWrites reduces the state service's write rate to a share.
 func (r *activeFault) limitWrites(active bool) {
 	limits := r.deployment.State
 	if active {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// messages begins faults of what is sent: cuts, copies, and what is held up.
+// beginMessageFault handles faults of message delivery: cuts, duplicates and delays.
 func (r *activeFault) beginMessageFault() bool {
 	name := r.fault.String()
 	switch verb := r.fault.Kind; verb {
@@ -188,7 +188,8 @@
 	return true
 }
 
-// endsAfter ends a trouble of machines, those that are not gone meanwhile, and the fault with it.
+// endTroubleAfter ends a trouble of machines after a delay, and the fault with it. Machines that are gone by then
+// are skipped.
 func (r *activeFault) endTroubleAfter(delay time.Duration, ids []string, end emulator.Trouble) {
 	r.after(delay, func() {
 		for _, id := range ids {
@@ -198,7 +199,7 @@
 	})
 }
 
-// spotWave has a share of the spot machines leave at once.
+// spotWave makes a share of the spot machines leave at once.
 func (r *activeFault) spotWave() {
 	spot := 0
 	r.world.StrikeSome(1<<20, "", func(_ string, isSpot bool) bool {
--- a/internal/lab/overrides.go
+++ b/internal/lab/overrides.go
@@ -15,26 +15,26 @@
 	"daledyke/internal/protocol"
 )
 
-// Own is what an experiment's deployment has instead of the example's. What is absent is
-// the example's.
+// Overrides are an experiment's replacements for settings of the example deployment. Unset fields keep the
+// example's values.
 type Overrides struct {
 	Zones, ControlZones []string
 	Types               []protocol.MachineType
-	// Most is how many machines there are of a type.
+	// MaxByType is the number of machines available per type; types without an entry have no limit of their own.
 	MaxByType  map[string]int
 	Teams      []config.Team
 	Objectives []config.Objective
-	// Report, Lease, GangWait, GangPeer and Cancel are the workers' times.
+	// The workers' intervals and timeouts.
 	ReportEvery, Lease, GangWait, GangPeer, CancelWithin time.Duration
 	State                                                *emulator.Limits
 	CloudRPS                                             float64
 	ListLag                                              time.Duration
 	ClockOffset                                          time.Duration
-	// Cores, MemMB and Files are each controller's.
+	// Cores, MemMB and FDLimit are the resource limits of each controller.
 	Cores, MemMB, FDLimit float64
 }
 
-// set takes one entry of an experiment that is about the deployment.
+// setEntry applies one entry of an experiment file that concerns the deployment.
 func (o *Overrides) setEntry(head string, values []string, raw []byte) (err error) {
 	times := map[string]*time.Duration{"report": &o.ReportEvery, "lease": &o.Lease, "gang-wait": &o.GangWait, "gang-peer": &o.GangPeer,
 		"cancel-within": &o.CancelWithin, "clock-off": &o.ClockOffset}
@@ -69,17 +69,17 @@
 		if o.ControlZones = values; len(values) == 0 {
 			err = errors.New("names are needed")
 		}
-	case "state": // requests and changes a second, KB of a value, changes of a transaction
+	case "state": // requests per second, writes per second, KB per value, operations per transaction
 		v := numbers(4, 1)
 		o.State = &emulator.Limits{RPS: v[0], WriteRPS: v[1], ValueKB: v[2], TxnOps: int(v[3])}
-	case "cloud": // requests a second, and by how much the list is late
+	case "cloud": // requests per second, lag of the machine list
 		if len(values) != 2 {
 			return errors.New("requests a second and the list's lag are needed")
 		}
 		if o.CloudRPS, err = parseFloat(values[0], 0.1, 1e6); err == nil {
 			o.ListLag, err = parseDuration(values[1])
 		}
-	case "node": // cores, MB of memory, files
+	case "node": // cores, MB of memory, file descriptors
 		v := numbers(3, 0.01)
 		o.Cores, o.MemMB, o.FDLimit = v[0], v[1], v[2]
 	case "aim": // wait|finished CLASS WITHIN SHARE
@@ -106,7 +106,8 @@
 	return err
 }
 
-// amounts are the entries of a named form, each with numbers.
+// parseAmounts reads the numeric entries of a named form into the targets in allowed and returns the form's name.
+// Entries that handled consumes are skipped.
 func parseAmounts(raw []byte, kind edn.Symbol, handled func(name string, values []string) bool, allowed map[string][]*float64) (name string, err error) {
 	name, entries, err := forms.Named(raw, kind)
 	if err != nil {
@@ -144,8 +145,8 @@
 	return err
 }
 
-// setType reads (type "x" (cores N) (accels N) (ram GB) (cache GB) (fetch GB/s) (price P
-// SPOT) (boot S) (most N) (zones "a" ...)).
+// setType reads (type "x" (cores N) (accels N) (ram GB) (cache GB) (fetch GB/s) (price P SPOT) (boot S) (most N)
+// (zones "a" ...)).
 func (o *Overrides) setType(raw []byte) (err error) {
 	var t protocol.MachineType
 	most := -1.0
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// check tells what of a deployment does not go together.
+// validate reports contradictions within the resulting deployment.
 func (o *Overrides) validate(d *Deployment) error {
 	for _, z := range o.ControlZones {
 		if !slices.Contains(d.Zones, z) {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// deployment is the example's, with what is the experiment's own.
+// deployment returns the example deployment with the experiment's overrides applied.
 func (e *Experiment) deployment() Deployment {
 	d, o := Example(e.Controllers, e.Machines), &e.Overrides
 	if o.Zones != nil {
@@ -234,7 +235,7 @@
 	return d
 }
 
-// lines write it as set reads it.
+// entries formats the overrides as entries that setEntry reads.
 func (o *Overrides) entries() (all []string) {
 	p := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	if o.Zones != nil {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -20,8 +20,7 @@
 	"daledyke/internal/transport"
 )
 
-// Run is one run of an experiment: one version, one seed, one value of each setting that
-// varies.
+// Run is one run of an experiment: one version, one seed, and one value of each setting that varies.
 type Run struct {
 	Name       string             `json:"name"`
 	Experiment string             `json:"experiment"` // as text
@@ -30,7 +29,7 @@
 	Settings   map[string]float64 `json:"settings"`
 }
 
-// Runs are all runs of an experiment, in their order.
+// Runs returns all runs of an experiment: every combination of settings, version and seed.
 func (e *Experiment) Runs() (runs []Run) {
 	versions := e.Versions
 	if len(versions) == 0 {
@@ -65,7 +64,7 @@
 	return runs
 }
 
-// apply gives the experiment as a run has it.
+// withSettings returns the run's experiment with the run's settings applied.
 func (r *Run) withSettings() (*Experiment, error) {
 	e, err := Parse([]byte(r.Experiment))
 	if err != nil {
@@ -86,7 +85,7 @@
 	return e, e.validate()
 }
 
-// The files of a run and of a result.
+// File names in the directories of runs and results.
 const (
 	runFile     = "run.json"
 	eventsFile  = "events.jsonl.gz"
@@ -95,15 +94,14 @@
 	logFile     = "log.txt"
 )
 
-// sampleEvery is how often the state of the world is noted.
+// sampleInterval is the interval between samples of the emulated world's state.
 const sampleInterval = 5 * time.Second
 
-// settle is how long a world in virtual time is given to come to rest at its end.
+// settleTime is the virtual time that goroutines get at the end of a run to notice the shutdown and return.
 const settleTime = 5 * time.Minute
 
-// Play plays a run whose files are in a directory: it reads run.json and writes the
-// events and the summary. For virtual time it must be called in a bubble of
-// testing/synctest.
+// ExecuteRun executes the run in a directory: it reads run.json and writes the events and the summary. For virtual
+// time it must be called in a testing/synctest bubble.
 func ExecuteRun(ctx context.Context, dir string, progress func(share float64)) error {
 	r, err := readRun(dir)
 	if err != nil {
@@ -129,7 +127,7 @@
 	return writeJSON(filepath.Join(dir, summaryFile), s)
 }
 
-// writeJSON writes a file that has its name only once it is whole.
+// writeJSON writes a file atomically: under a temporary name first, then renamed.
 func writeJSON(name string, v any) error {
 	raw, err := json.MarshalIndent(v, "", " ")
 	if err == nil {
@@ -141,17 +139,17 @@
 	return err
 }
 
-// stage is where a run plays: the network, and the controllers.
+// testbed is the environment of a run: the emulated world, the network and the controllers.
 type testbed struct {
 	deployment *Deployment
 	world      *emulator.World
-	pipes      *emulator.Pipes // nil on loopback
+	pipes      *emulator.Pipes // nil in real time, on loopback
 	dial       transport.Dialer
 	launcher   launcher
 	addresses  Addresses
 }
 
-// play plays an experiment and sums it up; every event is recorded.
+// execute runs an experiment, passes each event to record, and returns the summary.
 func execute(ctx context.Context, e *Experiment, program string, seed uint64, dir string, record func(history.Event), progress func(float64)) (summary Summary, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -160,7 +158,7 @@
 	setup := deployment.Setup(seed, true)
 	meter := NewMeter(setup.Limits(), deployment.CancelWithin)
 	setup.Record = func(ev history.Event) {
-		if !finished { // on the world's goroutine
+		if !finished { // read and written on the world's goroutine only
 			meter.Note(ev)
 			record(ev)
 		}
@@ -174,7 +172,7 @@
 		bed.world.End()
 		cancel()
 		if !e.RealTime {
-			time.Sleep(settleTime) // all goroutines notice and end
+			time.Sleep(settleTime) // goroutines notice the shutdown and return
 		}
 	}
 	defer shutDown()
@@ -204,7 +202,8 @@
 	return summary, err
 }
 
-// unserved are the classes, teams and largest jobs of which less than a share is served.
+// violationsBelow returns a violation for each class, team and group of largest jobs whose served share is below
+// the minimum.
 func (s *Summary) violationsBelow(minimum float64) (violations []history.Violation) {
 	for _, check := range []struct {
 		shares map[string]float64
@@ -259,7 +258,7 @@
 	return bed, nil
 }
 
-// conduct has users come and things fail at their times, until the end.
+// runWorkload submits the jobs and injects the faults at their times, and returns at the end of the experiment.
 func (bed *testbed) runWorkload(ctx context.Context, e *Experiment, seed uint64, progress func(float64)) error {
 	balancer := emulator.NewBalancer(ctx, bed.dial, bed.deployment.Controllers, bed.addresses.Front, seed)
 	client := &http.Client{Transport: &http.Transport{DialContext: balancer.Dial, MaxIdleConnsPerHost: maxUserConnections, MaxConnsPerHost: maxUserConnections, DisableCompression: true},
--- a/internal/lab/runner.go
+++ b/internal/lab/runner.go
@@ -11,25 +11,25 @@
 	"strings"
 )
 
-// Runs are played by processes of their own, whose results are read back.
+// Each run executes in a child process, which leaves its results in files.
 
-// Runner has runs played, each by a process of its own, and keeps their results.
+// Runner executes the runs of an experiment, each in a child process, and stores their results.
 type Runner struct {
-	// Dir is the result's directory.
+	// Dir is the directory for the result.
 	Dir string
-	// Play is the command line that plays the run in the directory that is added to it,
-	// and prints its progress as shares, a line each.
+	// Command is the command line of the child process. The run's directory is appended to it; the process prints
+	// its progress as fractions, one per line.
 	Command []string
-	// AtOnce is how many runs play at the same time; 0: as many as fit.
+	// Parallel is the number of concurrent runs; 0 selects it by the number of CPUs.
 	Parallel int
-	// Progress is told of the share that is done of all; it may be nil.
+	// Progress receives the completed fraction of all runs; it may be nil.
 	Progress func(share float64)
 }
 
-// ErrNotEmpty says that a result's directory holds something already.
+// ErrNotEmpty reports that the directory for results is not empty.
 var ErrNotEmpty = errors.New("the directory for results is not empty")
 
-// Run plays all runs of an experiment.
+// Run executes all runs of an experiment and writes the result.
 func (r *Runner) Run(ctx context.Context, e *Experiment) (*Result, error) {
 	if found, err := os.ReadDir(r.Dir); err == nil && len(found) > 0 {
 		return nil, fmt.Errorf("%s: %w", r.Dir, ErrNotEmpty)
@@ -43,8 +43,7 @@
 	runs := e.Runs()
 	parallel := r.Parallel
 	if parallel <= 0 {
-		// In real time runs would disturb each other; in virtual time they use one or two
-		// cores each.
+		// Concurrent runs in real time would disturb each other; a run in virtual time uses one or two cores.
 		if parallel = max(1, runtime.NumCPU()/2); e.RealTime {
 			parallel = 1
 		}
@@ -76,7 +75,7 @@
 		switch {
 		case u.err != nil:
 			if failed == nil {
-				cancel() // the first fault ends all
+				cancel() // the first failure stops all runs
 			}
 			if failed == nil || !errors.Is(u.err, context.Canceled) {
 				failed = errors.Join(failed, fmt.Errorf("run %s: %w", runs[u.n].Name, u.err))
@@ -103,7 +102,7 @@
 	return result, writeJSON(filepath.Join(r.Dir, resultFile), result)
 }
 
-// play has one run played.
+// execute executes one run in a child process.
 func (r *Runner) execute(ctx context.Context, run Run, progress func(float64)) (*Summary, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -133,8 +132,8 @@
 
 func readRun(dir string) (*Run, error) { return readJSON[Run](filepath.Join(dir, runFile)) }
 
-// ReadResult reads the result in a directory. One that was cut short has no result.json
-// and is refused, and so is one whose runs have changed.
+// ReadResult reads the result in a directory. It rejects an incomplete result, which has no result.json, and one
+// with an invalid experiment or run name.
 func ReadResult(dir string) (*Result, error) {
 	r, err := readJSON[Result](filepath.Join(dir, resultFile))
 	if errors.Is(err, os.ErrNotExist) {
@@ -166,7 +165,7 @@
 	return v, nil
 }
 
-// Result is what all runs of an experiment came to.
+// Result holds the summaries of all runs of an experiment.
 type Result struct {
 	Experiment string    `json:"experiment"`
 	Runs       []Summary `json:"runs"`
