--- a/internal/lab/cancelled.go
+++ b/internal/lab/cancelled.go
@@ -9,28 +9,29 @@
 	"daledyke/internal/history"
 )
 
-// CancelSummary is how fast the tasks of cancelled jobs were gone, as a part of the time that the
-// protocol allows.
+// CancelSummary summarizes how fast the tasks of cancelled jobs ended, relative to the time that the protocol
+// allows.
 type CancelSummary struct {
-	// Jobs is how many jobs users were told are cancelled.
+	// Jobs is the number of jobs whose cancellation was confirmed to the user.
 	Jobs int `json:"jobs"`
-	// Within is the time allowed from then, WorstShare the largest part of it that any took.
+	// Within is the time allowed after the confirmation, WorstShare the longest time taken as a share of it.
 	Within     time.Duration `json:"within"`
 	WorstShare float64       `json:"worstShare"`
-	// Took is a histogram of milliseconds of all that had tasks somewhere, as HdrHistogram encodes it.
+	// Took is a histogram, in milliseconds and HdrHistogram's encoding, of the jobs that still had tasks when the
+	// cancellation was confirmed.
 	Took []byte `json:"took"`
-	// StartedAfter is how many commands to start were carried out after the answer, SentAfter how
-	// many of those had also been sent after it.
+	// StartedAfter is the number of start commands carried out after the confirmation, SentAfter the number of these
+	// that were also sent after it.
 	StartedAfter int `json:"startedAfter"`
 	SentAfter    int `json:"sentAfter"`
-	// Worst are the slowest, at most worstCancelled.
+	// Worst are the slowest cancellations, at most maxWorstCancelled.
 	Worst []history.Cancellation `json:"worst,omitempty"`
 }
 
-// worstCancelled bounds how many cancelled jobs are told one by one.
+// maxWorstCancelled bounds the number of cancellations that are reported individually.
 const maxWorstCancelled = 5
 
-// summarizeCancelled sums up what became of cancelled jobs, given the slowest first.
+// summarizeCancelled summarizes cancellations, which are sorted from the slowest.
 func summarizeCancelled(all []history.Cancellation, within time.Duration) (CancelSummary, error) {
 	s := CancelSummary{Jobs: len(all), Within: within}
 	took := newHistogram()
@@ -53,7 +54,7 @@
 	return s, err
 }
 
-// describe tells one slow cancellation in a line.
+// describeCancellation describes a slow cancellation in one line.
 func describeCancellation(c *history.Cancellation, within time.Duration) string {
 	line := fmt.Sprintf("%s, told at %v, lasted %v of %v", c.Job, c.Told.Round(time.Millisecond), c.Lasted().Round(time.Millisecond), within)
 	if c.Task != "" {
--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// child runs a command that plays a run, and gives how long it took and the most memory
-// (MB) that it had. What it logs goes to a file.
+// runCommand runs a command that executes a run, and returns its duration and its peak memory in MB. Its standard
+// error goes to the log file.
 func runCommand(ctx context.Context, command []string, log string, progress func(float64)) (took time.Duration, memory float64, err error) {
 	logFile, err := os.Create(log)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return time.Since(began), memory, nil
 }
 
-// tail is the end of what a child said.
+// logTail returns the end of a process's log, or the beginning of its panic message if there is one.
 func logTail(log string) string {
 	raw, err := os.ReadFile(log)
 	if err != nil {
@@ -66,9 +66,8 @@
 	return text[max(0, len(text)-most):]
 }
 
-// PlayHere plays the run in a directory in this process, which it ends. Virtual time is
-// that of testing/synctest, whose bubbles only tests may open: so this process becomes a
-// test.
+// ExecuteInProcess executes the run in a directory in this process and exits. Virtual time needs a testing/synctest
+// bubble, which only a test can open; therefore this process runs the run as a test.
 func ExecuteInProcess(dir string, virtual bool) {
 	execute := func(ctx context.Context) error {
 		return ExecuteRun(ctx, dir, func(share float64) { fmt.Println(strconv.FormatFloat(share, 'f', 4, 64)) })
@@ -80,7 +79,7 @@
 		}
 		os.Exit(0)
 	}
-	os.Args = os.Args[:1] // the flags of tests are not ours
+	os.Args = os.Args[:1] // the arguments are not flags of the testing package
 	matchAll := func(string, string) (bool, error) { return true, nil }
 	testing.Main(matchAll, []testing.InternalTest{{Name: "Run", F: func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -92,7 +91,7 @@
 	}}}, nil, nil)
 }
 
-// Virtual tells whether the run in a directory plays in virtual time.
+// Virtual reports whether the run in a directory uses virtual time.
 func Virtual(dir string) (bool, error) {
 	r, err := readRun(dir)
 	if err != nil {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -16,14 +16,14 @@
 	"daledyke/internal/history"
 )
 
-// Estimate is a mean over seeds with half the width of its 95% confidence interval (of
-// Student's t); the width is NaN for a single seed.
+// Estimate is a mean over N seeds with half the width of its 95% confidence interval by Student's t; the width is
+// NaN for a single seed.
 type Estimate struct {
 	Mean, HalfWidth float64
 	N               int
 }
 
-// estimate is the mean of values.
+// estimate returns the mean and the confidence interval of the values that are numbers.
 func estimate(values []float64) Estimate {
 	values = slices.DeleteFunc(slices.Clone(values), math.IsNaN)
 	n := len(values)
@@ -48,21 +48,21 @@
 	return fmt.Sprintf("%.3g ± %.2g", e.Mean, e.HalfWidth)
 }
 
-// Differs tells whether zero lies outside of the interval.
+// Differs reports whether zero lies outside the confidence interval.
 func (e Estimate) Differs() bool { return e.N > 1 && math.Abs(e.Mean) > e.HalfWidth }
 
-// Group are the runs of one version under one setting, which differ by their seeds.
+// Group holds the runs of one version under one combination of settings; they differ by their seeds.
 type Group struct {
 	Name string
 	Runs []Summary
-	// base is the group of the first version under the same setting, nil if it is that.
+	// base is the group of the first version under the same settings, nil for that group itself.
 	base *Group
 }
 
-// groups are the result's runs by version and setting, in their order.
+// groups returns the result's runs grouped by version and settings, in order of first appearance.
 func (r *Result) groups() (all []*Group) {
 	byName := map[string]*Group{}
-	first := map[string]*Group{} // by setting
+	first := map[string]*Group{} // by settings
 	for _, s := range r.Runs {
 		setting := ""
 		for _, name := range slices.Sorted(maps.Keys(s.Settings)) {
@@ -83,10 +83,10 @@
 	return all
 }
 
-// Measure is one thing that runs are compared by.
+// Measure is a quantity by which runs are compared.
 type Measure struct {
 	Name string
-	// Of gives the value of a run, NaN if it has none.
+	// Value returns the value of a run, NaN if the run has none.
 	Value func(*Summary) float64
 }
 
@@ -98,7 +98,7 @@
 	return share
 }
 
-// measures are all that the runs of a result are compared by.
+// measures returns all measures of a result.
 func (r *Result) measures() []Measure {
 	classes := map[string]bool{}
 	for _, s := range r.Runs {
@@ -159,7 +159,8 @@
 	return all
 }
 
-// of is a measure over a group's seeds, and its difference from the base's, seed by seed.
+// estimate returns the estimate of a measure over the group's seeds, and of its paired difference from the base
+// group, seed by seed.
 func (g *Group) estimate(m Measure) (value Estimate, difference *Estimate) {
 	values := func(runs []Summary) (v []float64) {
 		for i := range runs {
@@ -180,7 +181,7 @@
 	return value, &d
 }
 
-// Broken is how many rules were broken in all runs.
+// Broken returns the number of violations of rules in all runs.
 func (r *Result) Broken() (n int) {
 	for _, s := range r.Runs {
 		n += len(s.Broken)
@@ -188,7 +189,7 @@
 	return n
 }
 
-// Table writes the measures of all groups.
+// Table writes a table of all measures by group, and the first violations of each run.
 func (r *Result) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	groups := r.groups()
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -1,7 +1,6 @@
-// Package lab experiments with daledyke in a world that is played: an experiment says
-// what the deployment is, what work comes and what fails when; the lab runs it in virtual
-// time in one process or in real time on loopback, keeps all that happened, checks the
-// rules over it, and compares.
+// Package lab runs experiments with daledyke in an emulated world. An experiment describes a deployment, its load and
+// the faults to inject. The lab runs it in virtual time in one process or in real time on loopback, records all
+// events, checks the rules of the protocol on them, and compares the results.
 package lab
 
 import (
@@ -18,36 +17,36 @@
 	"daledyke/internal/protocol"
 )
 
-// Deployment is the example deployment that experiments and `daledyke up` use.
+// Deployment describes a deployment for experiments and `daledyke up`.
 type Deployment struct {
 	Controllers []string
 	Zones       []string
-	// Control are the zones of the controllers, in turn; nil: those of the machines.
+	// ControlZones are assigned to the controllers in rotation; nil selects the zones of the machines.
 	ControlZones []string
 	Types        []protocol.MachineType
 	Teams        []config.Team
 	Objectives   []config.Objective
-	// Machines is how many there can be at once, and Most how many of some types.
+	// Machines is the maximum number of machines, and MaxByType the maximum for some types.
 	Machines  int
 	MaxByType map[string]int
-	// The workers' times.
+	// The workers' intervals and timeouts.
 	ReportEvery, Lease, GangWait, GangPeer, CancelWithin time.Duration
 	State                                                emulator.Limits
 	CloudRPS                                             float64
 	ListLag                                              time.Duration
 	ClockOffset                                          time.Duration
-	// Cores, MemMB and Files are what each controller has.
+	// Cores, MemMB and FDLimit are the resource limits of each controller.
 	Cores, MemMB float64
 	FDLimit      int
 }
 
-// Example is a deployment of so many controllers and machines. Its numbers are its own:
-// a printer's works with three kinds of work.
+// Example returns a deployment with the given numbers of controllers and machines. Its figures describe a fictional
+// printing company with three classes of jobs.
 func Example(controllers, machines int) Deployment {
 	d := Deployment{Zones: []string{"north", "south", "west"}, Machines: machines,
 		ReportEvery: 4 * time.Second, Lease: 24 * time.Second, GangWait: 40 * time.Second, GangPeer: 4 * time.Second, CancelWithin: 45 * time.Second,
 		CloudRPS: 12, ListLag: 4 * time.Second, ClockOffset: 200 * time.Millisecond, Cores: 0.25, MemMB: 160, FDLimit: 1500}
-	// The state service grows with the deployment, as one would rent it.
+	// The limits of the state service grow with the deployment.
 	d.State = emulator.Limits{RPS: 200 + float64(machines), WriteRPS: 120 + float64(machines)/4, ValueKB: 8, TxnOps: 24}
 	for n := range controllers {
 		d.Controllers = append(d.Controllers, fmt.Sprintf("press-%d", n))
@@ -67,8 +66,8 @@
 	return d
 }
 
-// Hasten has machines boot and fetch so many times faster: nobody who tries the program
-// wants to wait for a machine that is none.
+// SpeedUp makes machines boot and fetch images faster by a factor, so that a demonstration does not wait for emulated
+// machines.
 func (d *Deployment) SpeedUp(factor float64) {
 	for i := range d.Types {
 		d.Types[i].BootS /= factor
@@ -76,8 +75,8 @@
 	}
 }
 
-// Setup is the world around the deployment's controllers. A world that varies strays
-// from its nominal values as far as the protocol lets it.
+// Setup returns the settings of the emulated world around the deployment's controllers. If varies is set, the world
+// deviates from its nominal values as far as the protocol allows.
 func (d *Deployment) Setup(seed uint64, varies bool) emulator.Setup {
 	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, Most: d.MaxByType, CloudRPS: d.CloudRPS, State: d.State,
 		ReportEvery: d.ReportEvery, Lease: d.Lease, GangWait: d.GangWait, GangPeer: d.GangPeer, CancelWithin: d.CancelWithin, Seed: seed}
@@ -87,14 +86,14 @@
 	return s
 }
 
-// Addresses are where everything of a deployment listens.
+// Addresses are the listening addresses of a deployment.
 type Addresses struct {
-	// Front, Inner and State are by controller; State is the state service's door for it.
+	// Front, Inner and State are keyed by controller; State is the address at which the state service serves it.
 	Front, Inner, State map[string]string
 	Cloud               string
 }
 
-// Platform is the settings file of one controller.
+// Platform returns the contents of one controller's settings file.
 func (d *Deployment) Platform(name string, a Addresses) config.Platform {
 	p := config.Platform{Name: name, Front: a.Front[name], Internal: a.Inner[name]}
 	p.Services.Cloud, p.Services.State = a.Cloud, a.State[name]
@@ -116,7 +115,7 @@
 	return p
 }
 
-// zone is the zone of a controller.
+// zone returns the zone of a controller, or "" for an unknown name.
 func (d *Deployment) zone(controller string) string {
 	for n, name := range d.Controllers {
 		if name == controller {
@@ -126,7 +125,7 @@
 	return ""
 }
 
-// controlZone is the zone of the controller with a number.
+// controlZone returns the zone of the controller with an index.
 func (d *Deployment) controlZone(n int) string {
 	if len(d.ControlZones) > 0 {
 		return d.ControlZones[n%len(d.ControlZones)]
@@ -134,8 +133,7 @@
 	return d.Zones[n%len(d.Zones)]
 }
 
-// WriteSettings writes the settings files of all controllers into a directory and gives
-// their names.
+// WriteSettings writes the settings files of all controllers into a directory and returns their names by controller.
 func (d *Deployment) WriteSettings(dir string, a Addresses) (files map[string]string, err error) {
 	files = map[string]string{}
 	for _, name := range d.Controllers {
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -21,9 +21,9 @@
 	"daledyke/internal/protocol"
 )
 
-// door is the front door of a deployment on this machine. It passes requests on to the
-// nodes through the load balancer, and keeps the descriptions of jobs, which users upload
-// for the workers. What it keeps survives a restart.
+// gateway is the HTTP entry point of a deployment on this machine. It forwards requests to the controllers through
+// the load balancer and stores the specifications of submitted jobs, which the emulated workers need. The store
+// survives a restart.
 type gateway struct {
 	world   *emulator.World
 	queues  pbs.Queues
@@ -31,7 +31,7 @@
 	proxy   *httputil.ReverseProxy
 }
 
-// upload is a job's description, on its way to the file; kept tells how that ended.
+// upload is a request to store a job's specification; result receives the outcome.
 type upload struct {
 	spec   *protocol.JobSpec
 	result chan error
@@ -39,7 +39,7 @@
 
 const uploadsFile = "uploads.jsonl"
 
-// newDoor opens a door whose uploads are kept in a directory, until ctx ends.
+// newGateway returns a gateway that stores uploads in a directory until ctx ends.
 func newGateway(ctx context.Context, w *emulator.World, b *emulator.Balancer, dir string, queues pbs.Queues) (*gateway, error) {
 	name := filepath.Join(dir, uploadsFile)
 	specs, completeBytes, err := readUploads(name)
@@ -53,7 +53,7 @@
 	}
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY, 0o600)
 	if err == nil {
-		err = f.Truncate(completeBytes) // a line that a kill cut short was answered to nobody
+		err = f.Truncate(completeBytes) // an incomplete last line was never acknowledged
 	}
 	if err == nil {
 		_, err = f.Seek(completeBytes, io.SeekStart)
@@ -79,7 +79,7 @@
 			select {
 			case u := <-g.uploads:
 				var err error
-				if !recorded[u.spec.ID] { // users send a job again until it is answered
+				if !recorded[u.spec.ID] { // users resend a job until they get a response
 					err = appendUpload(f, u.spec)
 					recorded[u.spec.ID] = err == nil
 				}
@@ -100,8 +100,7 @@
 	return errors.Join(err, f.Sync())
 }
 
-// readUploads reads the descriptions that were kept, and how many bytes of the file are
-// whole lines.
+// readUploads reads the stored specifications and returns the number of bytes that form complete lines.
 func readUploads(name string) (specs []*protocol.JobSpec, completeBytes int64, err error) {
 	f, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -129,8 +128,7 @@
 	}
 }
 
-// estimated has a job's tasks run as long as its owner says; services run until they are
-// stopped.
+// estimatedRunTime makes a job's tasks run as long as its owner estimates; services run until they are stopped.
 func estimatedRunTime(s *protocol.JobSpec) func(int) time.Duration {
 	run := max(s.Estimate(), time.Second)
 	if s.Shape == protocol.Service {
@@ -156,7 +154,7 @@
 				return
 			}
 			if err != nil {
-				slog.Error("a description is not kept", "job", s.ID, "err", err)
+				slog.Error("cannot store the job specification", "job", s.ID, "err", err)
 				http.Error(w, `{"error":"the description is not kept"}`, http.StatusServiceUnavailable)
 				return
 			}
@@ -166,8 +164,7 @@
 	g.proxy.ServeHTTP(w, r)
 }
 
-// describe is the job that a submission is for, nil if it is senseless: the controllers
-// say so.
+// parseSubmission returns the job of a submission, nil if it is invalid; the controllers reject it then.
 func (g *gateway) parseSubmission(r *http.Request, body []byte) *protocol.JobSpec {
 	if r.URL.Path == "/v1/jobs" {
 		s, err := protocol.ParseJob(body)
--- a/internal/lab/hunt.go
+++ b/internal/lab/hunt.go
@@ -15,17 +15,16 @@
 	"daledyke/internal/protocol"
 )
 
-// HuntOptions say what is hunted for.
+// HuntOptions are the options of Hunt.
 type HuntOptions struct {
 	Seed   uint64
 	Runs   int
 	Length time.Duration
-	// Say tells people how it goes.
+	// Printf reports progress.
 	Printf func(format string, args ...any)
 }
 
-// Random is an experiment drawn by chance: a small deployment, some work, and faults that
-// may overlap.
+// Random returns a random experiment: a small deployment, some load, and faults that may overlap.
 func Random(seed uint64, length time.Duration) *Experiment {
 	rng := randomSource(seed, "hunt")
 	e := &Experiment{Name: fmt.Sprintf("hunt-%d", seed), Controllers: 3 + rng.IntN(3), Machines: 8 + rng.IntN(40), Length: length, Rest: 4 * time.Minute,
@@ -49,7 +48,7 @@
 	for range 1 + rng.IntN(6) {
 		e.Faults = append(e.Faults, randomFault(rng, &d, length))
 	}
-	// Two or three meetings, which may meet each other: rules break where troubles do.
+	// Up to three combinations of faults, which may overlap: violations arise where faults coincide.
 	for range rng.IntN(4) {
 		combined := combinedFaults(rng, &d, length)
 		e.Faults = append(e.Faults, combined...)
@@ -61,9 +60,8 @@
 	return e
 }
 
-// quays makes the deployment one whose controllers stand in one zone and whose machines in
-// four, with small and large types of which one is not had everywhere, and teams that are all
-// limited in one resource.
+// zonedDeployment gives the experiment controllers in one zone and machines in four, small and large machine types of
+// which one is missing from a zone, and teams that are all limited in one resource.
 func zonedDeployment(e *Experiment, rng *rand.Rand) {
 	zones := []string{"inner", "outer", "north", "mole"}
 	n := float64(e.Machines)
@@ -74,13 +72,14 @@
 			{Name: "wide", Cores: 96, Accels: 8, RAM: 384, CacheGB: 100, FetchRate: 1, Price: 26, SpotPrice: 10, BootS: 50, Zones: zones[1:]}},
 		MaxByType: map[string]int{"small": 2 * e.Machines / 3},
 		Teams:     []config.Team{{Name: "desk", Accels: 2, AccelsMax: n}, {Name: "plates", Accels: 4, AccelsMax: 2 * n}, {Name: "archive", Accels: 1, AccelsMax: 4}}}
-	if rng.IntN(2) == 0 { // work that takes what is limited, and some that doesn't
+	if rng.IntN(2) == 0 { // one class uses the limited resource, the others do not
 		e.Classes[2].Accels = 2
 	}
 }
 
-// cancelledNear has users cancel what runs within some seconds of a time. Some of the machines hang
-// from then on: for less than a lease, about one, or longer than cancelled work may remain.
+// cancellationNear returns a fault that cancels running jobs within some seconds of a time. In most cases some of
+// their machines hang from then on: for less than a lease, for about a lease, or for longer than cancelled tasks may
+// remain.
 func cancellationNear(rng *rand.Rand, d *Deployment, at time.Duration) Fault {
 	const spread = 6 * time.Second
 	at += time.Duration(rng.Int64N(int64(2*spread))) - spread/2
@@ -93,12 +92,12 @@
 	return f
 }
 
-// meeting are troubles that come in one moment, of the kinds of which each alone does no harm:
-// who hears of something, who may act and who is told are then not the same.
+// combinedFaults returns faults that nearly coincide. Each kind alone does no harm; together they separate the
+// component that learns of a change, the one that may act on it, and the one that is informed.
 func combinedFaults(rng *rand.Rand, d *Deployment, length time.Duration) []Fault {
 	at := time.Duration(rng.Int64N(int64(length * 7 / 10)))
 	node, other := d.Controllers[rng.IntN(len(d.Controllers))], d.Controllers[rng.IntN(len(d.Controllers))]
-	// after is a moment up to so long after another; lasts a length about as long as one given.
+	// nextTime returns a time up to maxDelay after the previous one; about returns a duration near a nominal one.
 	nextTime := func(maxDelay time.Duration) time.Duration {
 		at += time.Duration(rng.Int64N(int64(maxDelay)))
 		return at.Round(100 * time.Millisecond)
@@ -112,37 +111,37 @@
 	}
 	count := fmt.Sprint(2 + rng.IntN(8))
 	switch rng.IntN(11) {
-	case 0: // the state service refuses one alone and then is away for all, and somebody may end
+	case 0: // the state service refuses one controller, then is unavailable to all; another controller may crash
 		all := []Fault{{At: nextTime(time.Second), Kind: "state-refuses", Args: []string{about(d.Lease / 2), node}},
 			{At: nextTime(8 * time.Second), Kind: "state-outage", Args: []string{about(d.CancelWithin * 3 / 2)}}}
 		if rng.IntN(2) == 0 {
 			all = append(all, crash(other))
 		}
 		return all
-	case 1: // one has its workers and users alone, and another ends
+	case 1: // one controller reaches only its workers and users, and another crashes
 		return []Fault{{At: nextTime(time.Second), Kind: "cut", Args: []string{about(d.CancelWithin), node, "services"}}, crash(other)}
-	case 2: // machines don't hear, or don't reach, who comes after one that ended
+	case 2: // machines do not hear or reach the successor of a crashed controller
 		return []Fault{{At: nextTime(time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, about(d.Lease)}}, crash(node), crash(other)}
-	case 3: // the state service is slow before it is away
+	case 3: // the state service is slow before it becomes unavailable
 		return []Fault{{At: nextTime(time.Second), Kind: "state-slow", Args: []string{about(10 * time.Second), about(time.Second)}},
 			{At: nextTime(10 * time.Second), Kind: "state-outage", Args: []string{about(d.CancelWithin)}}}
-	case 4: // all end, one returns, and ends again
+	case 4: // all controllers crash, and one crashes again after its restart
 		return []Fault{{At: nextTime(time.Second), Kind: "crash", Args: []string{about(4 * time.Second), "all"}}, crash(node), crash(node)}
-	case 5: // transactions are carried out late while controllers end
+	case 5: // transactions are applied late while controllers crash
 		return []Fault{{At: nextTime(time.Second), Kind: "state-late", Args: []string{about(12 * time.Second), about(6 * time.Second)}}, crash(node), crash(other)}
-	case 6: // commands are held up while machines change hands, and some of them don't hear
+	case 6: // commands are delayed while machines change holders, and some machines do not hear
 		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{about(d.Lease * 2), "0.5"}}, crash(node),
 			{At: nextTime(5 * time.Second), Kind: "machines", Args: []string{[]string{"deafen", "hold", "hang", "mute"}[rng.IntN(4)], count, about(d.Lease)}}, crash(other)}
-	case 7: // what was done is not heard of, and whoever asked for it ends
+	case 7: // transactions are applied without a response, and the requesting controller crashes
 		return []Fault{{At: nextTime(time.Second), Kind: "state-unheard", Args: []string{about(20 * time.Second), "0.4"}}, crash(node), crash(other)}
-	case 8: // copies of reports are kept, and come as somebody has just begun
+	case 8: // copies of reports are kept and reach controllers that have just started
 		return []Fault{{At: nextTime(time.Second), Kind: "kept-reports", Args: []string{about(d.Lease / 2)}}, crash(node), crash(other)}
-	case 9: // machines reboot while commands are held up, and who sent these ends
+	case 9: // machines reboot while commands are delayed, and the senders of the commands crash
 		reboot := func() Fault {
 			return Fault{At: nextTime(6 * time.Second), Kind: "machines", Args: []string{"reboot", count}}
 		}
 		return []Fault{{At: nextTime(time.Second), Kind: "late-commands", Args: []string{about(d.Lease * 2), "0.5"}}, reboot(), crash(node), reboot(), crash(other), reboot()}
-	default: // copies of old reports come to who has just begun
+	default: // copies of old reports reach a controller that has just started
 		return []Fault{{At: nextTime(time.Second), Kind: "echoes", Args: []string{about(d.Lease * 2), about(d.Lease)}}, crash(node),
 			{At: nextTime(5 * time.Second), Kind: "machines", Args: []string{"reboot", count}}}
 	}
@@ -152,7 +151,7 @@
 	lasting := func(most time.Duration) string {
 		return (time.Second + time.Duration(rng.Int64N(int64(most)))).Round(100 * time.Millisecond).String()
 	}
-	briefly := func() string { // back before anybody missed it
+	briefly := func() string { // back before its absence is detected
 		return (50*time.Millisecond + time.Duration(rng.Int64N(int64(450*time.Millisecond)))).Round(time.Millisecond).String()
 	}
 	node := d.Controllers[rng.IntN(len(d.Controllers))]
@@ -201,7 +200,7 @@
 	return f
 }
 
-// Smaller are the experiments next smaller than one, the ones that take most away first.
+// Reductions returns the experiments that result from one reduction of an experiment, the largest reductions first.
 func Reductions(e *Experiment) (all []*Experiment) {
 	add := func(change func(*Experiment)) {
 		c := *e
@@ -245,8 +244,7 @@
 	return all
 }
 
-// Shrink makes an experiment smaller for as long as it still breaks, with so many tries
-// at most. breaks is asked for one experiment after the other.
+// Shrink reduces an experiment as long as breaks still reports a violation, with at most the given number of tries.
 func Shrink(e *Experiment, tries int, breaks func(*Experiment) (bool, error)) (*Experiment, error) {
 	for progressed := true; progressed; {
 		progressed = false
@@ -267,19 +265,18 @@
 	return e, nil
 }
 
-// shrinkTries bounds how often an experiment that breaks is played to make it smaller.
+// shrinkTries bounds the number of runs for shrinking one experiment.
 const shrinkTries = 60
 
-// Found is an experiment that breaks a rule.
+// Finding is an experiment that violates a rule.
 type Finding struct {
 	Experiment *Experiment
 	Broken     []history.Violation
 	File       string
 }
 
-// Hunt plays random experiments, every other one a variation of those in which the tasks of a
-// cancelled job remained longest, and makes each that breaks a rule smaller. What is found is saved
-// as files in the runner's directory.
+// Hunt runs random experiments and shrinks each that violates a rule. Every other experiment is a mutation of one in
+// which the tasks of a cancelled job remained longest. Findings are saved as files in the runner's directory.
 func Hunt(ctx context.Context, r *Runner, o HuntOptions) (found []Finding, err error) {
 	dir := r.Dir
 	var misses nearMisses
@@ -338,8 +335,8 @@
 	return strings.Join(all, ", ")
 }
 
-// breaks plays an experiment; it gives the rules that were broken, and the largest share of the time
-// allowed that the tasks of a cancelled job took to be gone.
+// findViolations runs an experiment and returns the violations of rules, and the longest time that the tasks of a
+// cancelled job took to end as a share of the time allowed.
 func (r *Runner) findViolations(ctx context.Context, e *Experiment, dir string) (broken []history.Violation, share float64, err error) {
 	one := *r
 	one.Dir, one.Progress = dir, nil
--- a/internal/lab/launcher.go
+++ b/internal/lab/launcher.go
@@ -20,21 +20,21 @@
 	"daledyke/internal/transport"
 )
 
-// hosts run the controllers of a deployment, so that each can be killed and started.
+// launcher runs the controllers of a deployment; each can be killed and restarted.
 type launcher interface {
 	start(name string) error
 	kill(name string) error
-	// hang stops a controller's execution, or lets it go on.
+	// hang suspends a controller's execution or resumes it.
 	hang(name string, on bool) error
-	// stop ends all.
+	// stop ends all controllers.
 	stop()
 }
 
-// inside runs controllers in this process, over pipes.
+// inProcessLauncher runs controllers in this process, over pipes.
 type inProcessLauncher struct {
 	net              *emulator.Pipes
-	files            map[string]string // settings
-	operatorSettings string            // the operators' settings, "" for none
+	files            map[string]string // settings files by controller
+	operatorSettings string            // the operators' settings file, "" for none
 	stops            map[string]func()
 }
 
@@ -67,21 +67,21 @@
 	}
 }
 
-// processes runs controllers as processes of a program, on loopback.
+// processLauncher runs controllers as processes of a program, on loopback.
 type processLauncher struct {
 	program          string
 	files            map[string]string
 	operatorSettings string
 	logs             string // directory
 	running          map[string]*process
-	// ended is told of controllers that ended by themselves; it may be nil.
+	// exited is called for each controller that exits without being killed; it may be nil.
 	exited func(name string, err error)
 }
 
-// process is a controller that runs.
+// process is a running controller.
 type process struct {
 	cmd    *exec.Cmd
-	killed chan struct{} // closed before it is killed
+	killed chan struct{} // closed before the process is killed
 	done   chan struct{}
 }
 
@@ -97,7 +97,7 @@
 	}
 	cmd := exec.Command(h.program, args...)
 	cmd.Stderr, cmd.Stdout = log, log
-	// A controller must not outlive whoever plays its world, however that ends.
+	// A controller must not outlive the process that emulates its world, however that process ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		log.Close()
@@ -150,10 +150,9 @@
 	}
 }
 
-// freePorts gives addresses on loopback that nothing listens at now, and nothing else on this
-// machine takes before a controller does, or while one is away: their host is drawn. Connections
-// go out from 127.0.0.1, by ports that the kernel draws from those that are free; once, one of
-// them had a controller's, which could not start.
+// freePorts returns unused loopback addresses on a random host other than 127.0.0.1. Outgoing connections use
+// 127.0.0.1 with ports that the kernel picks; with controllers on that host, an outgoing connection once held a
+// controller's port, and the controller could not start.
 func freePorts(n int) (addrs []string, err error) {
 	host := netip.AddrFrom4([4]byte{127, byte(1 + rand.N(254)), byte(rand.N(256)), byte(1 + rand.N(254))})
 	var open []net.Listener
@@ -173,7 +172,7 @@
 	return addrs, nil
 }
 
-// onLoopback gives all controllers doors on loopback.
+// assignLoopback assigns loopback addresses to all controllers.
 func (d *Deployment) assignLoopback(a *Addresses) error {
 	ports, err := freePorts(2 * len(d.Controllers))
 	if err != nil {
@@ -186,7 +185,7 @@
 	return nil
 }
 
-// onPipes gives all controllers doors on pipes.
+// assignPipes assigns addresses on pipes to all controllers.
 func (d *Deployment) assignPipes(a *Addresses) {
 	a.Front, a.Inner = map[string]string{}, map[string]string{}
 	for _, name := range d.Controllers {
@@ -194,10 +193,10 @@
 	}
 }
 
-// Up is a deployment that runs on this machine: the world in this process, and each
-// controller as a process.
+// Up is a deployment running on this machine: the emulated world in this process, each controller in a process of its
+// own.
 type Up struct {
-	// Door is the front door's address, that of the load balancer.
+	// Address is the address of the gateway, which forwards to the load balancer.
 	Address     string
 	Addresses   Addresses
 	Files       map[string]string
@@ -208,16 +207,16 @@
 	cancel      context.CancelFunc
 }
 
-// UpOptions say how a deployment is brought up.
+// UpOptions are the options of BringUp.
 type UpOptions struct {
-	// Program is the program of the controllers; Settings the operators' file, "" for none.
+	// Program is the path of the controllers' program; Settings is the operators' settings file, "" for none.
 	Program, Settings string
-	// Dir is for settings, logs and, if Keep is set, the state service's state.
+	// Dir holds the settings, the logs and, if Keep is set, the state of the state service.
 	Dir  string
 	Keep bool
-	// Door is where the front door listens.
+	// Listen is the address at which the gateway listens.
 	Listen string
-	// Ended is told of controllers that ended by themselves.
+	// Exited is called for each controller that exits without being killed.
 	Exited func(name string, err error)
 }
 
@@ -274,7 +273,7 @@
 	return up, nil
 }
 
-// Ready waits until every controller takes requests.
+// Ready waits until every controller accepts requests.
 func (up *Up) Ready(ctx context.Context) error {
 	for {
 		if len(up.balancer.Healthy()) == len(up.controllers) {
@@ -288,7 +287,7 @@
 	}
 }
 
-// Close ends all of it.
+// Close stops the controllers and the emulated world.
 func (up *Up) Close() {
 	if up.launcher != nil {
 		up.launcher.stop()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -19,24 +19,24 @@
 	"daledyke/internal/transport"
 )
 
-// order is one job that is to be submitted.
+// plannedJob is a job that a user will submit.
 type plannedJob struct {
 	submitAt    time.Duration
 	spec        *protocol.JobSpec
-	runTimes    []time.Duration // of its tasks; 0: for ever
+	runTimes    []time.Duration // of its tasks; 0: until stopped
 	mistake     bool
 	cancelAfter time.Duration // counted from the submission; 0: never
 }
 
-// source is a generator of distributions for one purpose, which other purposes don't
-// disturb: with one more class, the others' jobs stay as they were.
+// randomSource returns a random generator for one purpose, independent of the generators for other purposes: an
+// additional class leaves the jobs of the others unchanged.
 func randomSource(seed uint64, purpose string) *rand.Rand {
-	// The generator's state is hashed from both: seeds that follow each other, as hunts use
-	// them, drew much the same faults otherwise.
+	// The generator's state is a hash of seed and purpose: without the hash, consecutive seeds, which hunts use,
+	// drew nearly the same faults.
 	return rand.New(rand.NewPCG(uint64(protocol.RingToken(fmt.Sprint(purpose, " ", seed))), uint64(protocol.RingToken(purpose))))
 }
 
-// draw takes a number from a distribution.
+// sample draws a number from the distribution.
 func (d Distribution) sample(rng *rand.Rand) float64 {
 	switch d.Kind {
 	case "uniform":
@@ -57,13 +57,13 @@
 	return d.A
 }
 
-// startSpread is over how long jobs that are there from the start come.
+// startSpread is the period over which the jobs of a start arrival are submitted.
 const startSpread = 5 * time.Second
 
-// maxOrders bounds the jobs of one class.
+// maxJobsPerArrivals bounds the jobs of one poisson or swing arrival.
 const maxJobsPerArrivals = 200_000
 
-// times are when jobs of a class come.
+// submissionTimes returns the submission times of the arrivals, in order.
 func (a Arrivals) submissionTimes(length time.Duration, scale float64, rng *rand.Rand) (at []time.Duration) {
 	switch a.Kind {
 	case "start":
@@ -75,7 +75,7 @@
 			at = append(at, a.At)
 		}
 	default:
-		// A swing is thinned out of the densest stream there is.
+		// A swing is a Poisson process at the peak rate, thinned to the current rate.
 		peak := distuv.Exponential{Rate: scale * (1 + a.Depth) / a.Gap.Seconds(), Src: rng}
 		for t := protocol.Seconds(peak.Rand()); t < length && len(at) < maxJobsPerArrivals; t += protocol.Seconds(peak.Rand()) {
 			acceptance := 1.0
@@ -91,7 +91,7 @@
 	return at
 }
 
-// orders are all jobs of an experiment with a seed, in the order in which they come.
+// plannedJobs returns all jobs of an experiment with a seed, in order of submission.
 func (e *Experiment) plannedJobs(seed uint64) (all []plannedJob) {
 	for _, c := range e.Classes {
 		rng := randomSource(seed, c.Name)
@@ -102,7 +102,7 @@
 		}
 	}
 	slices.SortStableFunc(all, func(a, b plannedJob) int { return int(a.submitAt - b.submitAt) })
-	// Ids are unique and come in no order.
+	// Job ids are unique and random.
 	ids := randomSource(seed, "ids")
 	seen := map[string]bool{}
 	previous := map[string]string{}
@@ -142,7 +142,7 @@
 		o.cancelAfter = time.Duration(rng.Float64() * 2 * run * float64(time.Second))
 	}
 	if rng.Float64() < c.Chained {
-		s.Needs = []string{""} // the one before it
+		s.Needs = []string{""} // replaced by the id of the previous job of the class
 	}
 	if c.Shape == protocol.Service {
 		o.runTimes = []time.Duration{0}
@@ -158,7 +158,7 @@
 	}
 	distinct := 1
 	if c.Shape == protocol.Array {
-		distinct = min(tasks, 64) // more of them run as these did
+		distinct = min(tasks, 64) // further tasks repeat these run times
 	}
 	for range distinct {
 		o.runTimes = append(o.runTimes, protocol.Seconds(max(1, run*(0.9+0.2*rng.Float64()))))
@@ -166,7 +166,7 @@
 	return o
 }
 
-// The users' times, as the protocol gives them.
+// Timing of users' requests, as the protocol specifies it, and limits of the users' client.
 const (
 	submitTimeout      = 5 * time.Second
 	pollTimeout        = 2 * time.Second
@@ -175,10 +175,10 @@
 	maxRetryDelay      = 30 * time.Second
 	usersHost          = "users"
 	maxUserConnections = 128
-	mistakeCancelDelay = 2 * time.Minute // until a user cancels a job that keeps failing
+	mistakeCancelDelay = 2 * time.Minute // delay until a user cancels a job that keeps failing because of its mistake
 )
 
-// user submits one job and follows it until it is over.
+// user submits one job and polls it until it ends.
 type user struct {
 	plannedJob
 	http  *http.Client
@@ -186,8 +186,8 @@
 	rng   *rand.Rand
 }
 
-// ask makes one request; code 0 is no answer. again is when to come back if the answer
-// was not final.
+// request makes one request. Code 0 means that no response arrived; retryIn is the delay before the next attempt if
+// the response is not final.
 func (u *user) request(ctx context.Context, method, path string, body []byte, timeout time.Duration) (code int, status string, retryIn time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -203,7 +203,7 @@
 	return code, status, max(retryIn, min(retryAfter, maxRetryDelay))
 }
 
-// insist repeats a request until its answer is final, for as long as users do.
+// requestUntilFinal repeats a request until its response is final or retryPeriod is over.
 func (u *user) requestUntilFinal(ctx context.Context, kind history.Kind, path string, body []byte) (code int, status string) {
 	for began := time.Now(); ; {
 		var retryIn time.Duration
@@ -219,23 +219,23 @@
 	}
 }
 
-// cancel has its job cancelled.
+// cancel requests the cancellation of the user's job.
 func (u *user) cancel(ctx context.Context) {
 	u.world.Note(history.Event{Kind: history.CancelAsked, Job: u.spec.ID})
 	u.requestUntilFinal(ctx, history.CancelTold, "/v1/jobs/"+u.spec.ID+"/cancel", []byte("{}"))
 }
 
-// live is the life of a user, until the job is over or the experiment is.
+// run submits the job, polls it and cancels it if planned, until the job or the experiment ends.
 func (u *user) run(ctx context.Context) {
 	body, err := json.Marshal(u.spec)
 	if err != nil {
-		panic(fmt.Sprintf("a job that can't be written: %v", err)) // all of it was made here
+		panic(fmt.Sprintf("a job that can't be written: %v", err)) // the spec is generated by this package
 	}
 	u.world.Upload(u.spec, func(task int) time.Duration { return u.runTimes[task%len(u.runTimes)] }, u.mistake)
 	began := time.Now()
 	code, _ := u.requestUntilFinal(ctx, history.Answered, "/v1/jobs", body)
 	if code == 400 || code == 422 || ctx.Err() != nil {
-		return // it will never be
+		return // rejected for good, or the experiment is over
 	}
 	if u.mistake && u.cancelAfter == 0 {
 		u.cancelAfter = mistakeCancelDelay
@@ -252,7 +252,7 @@
 		}
 		u.world.Note(history.Event{Kind: history.Polled, Job: u.spec.ID, Code: code, Status: status})
 		if status == protocol.Done || status == protocol.Cancelled {
-			// It may ask again at any later time.
+			// A user may poll a finished job again at any later time.
 			if !emulator.Pause(ctx, time.Duration(u.rng.Float64()*float64(2*time.Minute))) {
 				return
 			}
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -9,78 +9,76 @@
 	"daledyke/internal/protocol"
 )
 
-// Summary is what a run came to.
+// Summary holds the results of one run.
 type Summary struct {
 	Experiment string             `json:"experiment"`
 	Run        string             `json:"run"`
 	Version    string             `json:"version"`
 	Seed       uint64             `json:"seed"`
-	Settings   map[string]float64 `json:"settings"` // what varies
-	// Broken are the rules that were broken.
+	Settings   map[string]float64 `json:"settings"` // values of the settings that vary
+	// Broken are the violations of rules.
 	Broken  []history.Violation      `json:"broken"`
 	Jobs    int                      `json:"jobs"`
 	Classes map[string]*ClassSummary `json:"classes"`
-	// ServedClasses and ServedTeams are the shares of each class's and team's work that were
-	// served (history.Served).
+	// ServedClasses and ServedTeams are the served shares of each class's and team's work (history.Served).
 	ServedClasses map[string]float64 `json:"servedClasses"`
 	ServedTeams   map[string]float64 `json:"servedTeams"`
-	// ServedLargest is the share of each class's largest jobs' work that was served, and
-	// BegunLargest how many of them began within history.BeginWithin.
+	// ServedLargest is the served share of the work of each class's largest jobs, and BegunLargest the share of
+	// these jobs that began within history.BeginWithin.
 	ServedLargest map[string]float64 `json:"servedLargest"`
 	BegunLargest  map[string]float64 `json:"begunLargest"`
-	// Unanswered is the longest time for which questions about one accepted job went
-	// unanswered after the last trouble's end.
+	// Unanswered is the longest period without a response to the polls for one accepted job, after the end of the
+	// last trouble.
 	Unanswered time.Duration `json:"unanswered"`
-	// Cancelled is how fast the tasks of cancelled jobs were gone.
+	// Cancelled summarizes how fast the tasks of cancelled jobs ended.
 	Cancelled CancelSummary `json:"cancelled"`
-	// Used is the mean share of the machines' CPUs that tasks had.
+	// Used is the mean CPU utilisation of the machines.
 	Used float64 `json:"used"`
-	// Money was spent; Useful is the run time of tasks that completed and of services, in
-	// CPU hours.
+	// Money is the amount spent; Useful is the run time of completed tasks and of services, in CPU hours.
 	Money  float64 `json:"money"`
 	Useful float64 `json:"useful"`
-	// Machines is how many were charged on average, and Rented how many ever were.
+	// Machines is the mean number of charged machines, and Rented the number of rentals.
 	Machines float64 `json:"machines"`
 	Rented   int     `json:"rented"`
-	// StateRequests and StateChanges are a second.
+	// StateRequests and StateChanges are rates per second at the state service.
 	StateRequests float64 `json:"stateRequests"`
 	StateChanges  float64 `json:"stateChanges"`
 	Starts        int     `json:"starts"`
-	// Uneven is how many times the mean the controller that started most tasks did, by the
-	// numbers of their attempts. A controller counts anew after each session.
+	// Uneven is the ratio of the most starts by one owner to the mean over all owners. Owners are told apart by the
+	// term in the attempt's number, so that a controller counts separately in each of its sessions.
 	Uneven float64 `json:"uneven"`
 	Events int     `json:"events"`
-	// Took is how long the run took in real time, and MemMB the most memory of its process.
+	// Took is the run's duration in real time, and MemMB the peak memory of its process.
 	Took  time.Duration `json:"took"`
 	MemMB float64       `json:"memMB"`
-	// Length is that of the run in its own time.
+	// Length is the duration of the run in its own, real or virtual, time.
 	Length time.Duration `json:"length"`
 }
 
-// ClassSummary is what became of the jobs of a class.
+// ClassSummary summarizes the jobs of a class.
 type ClassSummary struct {
 	Jobs     int `json:"jobs"`
 	Accepted int `json:"accepted"`
 	Begun    int `json:"begun"`
 	Done     int `json:"done"`
-	Refused  int `json:"refused"` // for good
-	// Wait, Finish and Answer are histograms of milliseconds, as HdrHistogram encodes them:
-	// from the first attempt to submit until all tasks run that are to run at once (of an
-	// array: until the first does), until the last is completed, and until it was accepted.
+	Refused  int `json:"refused"` // permanently
+	// Wait, Finish and Answer are histograms of milliseconds in HdrHistogram's encoding, all counted from the first
+	// attempt to submit: until all tasks run (for an array: until the first task runs), until the last task is
+	// completed, and until the job is accepted.
 	Wait   []byte `json:"wait"`
 	Finish []byte `json:"finish"`
 	Answer []byte `json:"answer"`
 }
 
-// times are the histograms of a class while they are filled.
+// classHistograms are the histograms of a class before they are encoded.
 type classHistograms struct{ wait, finish, answer *hdrhistogram.Histogram }
 
-// mostMs bounds what histograms tell apart: a day.
+// maxHistogramMs is the largest value that histograms distinguish: one day.
 const maxHistogramMs = int64(24 * time.Hour / time.Millisecond)
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxHistogramMs, 3) }
 
-// Meter sums up events that come in their order.
+// Meter computes a Summary from events, which it takes in order.
 type Meter struct {
 	jobs         map[string]*meteredJob
 	classes      map[string]*ClassSummary
@@ -89,15 +87,15 @@
 	samples      int
 	newest       history.Sample
 	usedSum      float64
-	usedSamples  int // samples with machines
+	usedSamples  int // samples with at least one CPU
 	lastEvent    time.Duration
 	served       history.Served
-	cancelWithin time.Duration // for the tasks of cancelled jobs to be gone
+	cancelWithin time.Duration // allowed time until the tasks of cancelled jobs have ended
 	cancelled    history.Cancellations
-	startsByTerm map[uint64]int // by the term in the attempt's number, which is its owner's
+	startsByTerm map[uint64]int // by the owner's term, which is part of the attempt's number
 }
 
-// metered is a job as the meter knows it.
+// meteredJob is the meter's state of a job.
 type meteredJob struct {
 	spec        *protocol.JobSpec
 	submittedAt time.Duration
@@ -108,17 +106,17 @@
 	refused     bool
 }
 
-// NewMeter makes a meter of a deployment whose teams have these limits and whose cancelled jobs
-// must be gone within a time.
+// NewMeter returns a meter for a deployment with the given limits of teams and the time allowed for the tasks of
+// cancelled jobs to end.
 func NewMeter(limits map[string]protocol.Room, cancelWithin time.Duration) *Meter {
 	return &Meter{served: history.Served{Limits: limits}, cancelWithin: cancelWithin, jobs: map[string]*meteredJob{}, classes: map[string]*ClassSummary{}, histograms: map[string]*classHistograms{}, startsByTerm: map[uint64]int{}}
 }
 
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(maxHistogramMs, max(1, d.Milliseconds()))) // it is in range
+	h.RecordValue(min(maxHistogramMs, max(1, d.Milliseconds()))) // the value is in range, so the error is always nil
 }
 
-// Note takes the next event.
+// Note processes the next event.
 func (m *Meter) Note(e history.Event) {
 	m.summary.Events++
 	m.lastEvent = e.At
@@ -209,7 +207,7 @@
 	m.summary.Machines += float64(s.Machines)
 }
 
-// Summary is what the events came to.
+// Summary returns the summary of the events so far.
 func (m *Meter) Summary() (Summary, error) {
 	s := m.summary
 	s.Length = m.lastEvent
--- a/internal/lab/mutate.go
+++ b/internal/lab/mutate.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// closest are the experiments that came closest to a broken rule so far, the closest first. A hunt
-// varies them instead of drawing all anew: a rule that breaks for one order of events in many is
-// found next to those that nearly broke it.
+// nearMisses holds the experiments that came closest to a violation so far, the closest first. A hunt mutates them
+// besides generating new experiments: a violation that needs a rare order of events is more likely found near an
+// experiment that almost caused it.
 type nearMisses struct{ all []nearMiss }
 
-// nearMiss is an experiment and the largest share of the time allowed that the tasks of a cancelled
-// job took to be gone.
+// nearMiss is an experiment with the longest time that the tasks of a cancelled job took to end, as a share of the
+// time allowed.
 type nearMiss struct {
 	experiment *Experiment
 	share      float64
 }
 
-// mostClosest bounds how many experiments are kept to be varied.
+// maxNearMisses bounds the number of experiments kept for mutation.
 const maxNearMisses = 6
 
-// add takes an experiment in, if it came close enough.
+// add inserts an experiment if it is among the closest.
 func (c *nearMisses) add(e *Experiment, share float64) {
 	if share <= 0 {
 		return
@@ -38,7 +38,7 @@
 	c.all = c.all[:min(len(c.all), maxNearMisses)]
 }
 
-// draw draws one of them, the closer the likelier; nil if there is none.
+// pick returns a random near miss, preferring closer ones; nil if there is none.
 func (c *nearMisses) pick(rng *rand.Rand) *Experiment {
 	if len(c.all) == 0 {
 		return nil
@@ -46,9 +46,8 @@
 	return c.all[min(rng.IntN(len(c.all)), rng.IntN(len(c.all)))].experiment
 }
 
-// Mutated is an experiment like another: up to three of its faults come earlier or later, last
-// longer or shorter, strike more or fewer, are repeated, left out or joined by one drawn anew, or its load
-// and luck are drawn with another seed.
+// Mutate returns a variation of an experiment by up to three changes: a fault is moved in time, its duration or count
+// is changed, it is repeated or removed, a random fault is added, or the seed is replaced.
 func Mutate(e *Experiment, seed uint64) *Experiment {
 	rng := randomSource(seed, "mutation")
 	d := e.deployment()
@@ -66,7 +65,7 @@
 	}
 }
 
-// mostShift bounds by how much a fault is moved.
+// maxShift bounds the change of a fault's time.
 const maxShift = 6 * time.Second
 
 func (e *Experiment) mutateOnce(rng *rand.Rand, d *Deployment) {
@@ -100,7 +99,7 @@
 	}
 }
 
-// varied is a time or a count that is smaller or larger by up to a third; anything else stays.
+// varyArg changes a duration or a count by up to a third; other arguments stay unchanged.
 func varyArg(arg string, rng *rand.Rand) string {
 	factor := 2.0/3 + 2.0/3*rng.Float64()
 	if d, err := time.ParseDuration(arg); err == nil {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -21,13 +21,13 @@
 	"daledyke/internal/history"
 )
 
-// page is the report as its template takes it.
+// page is the data of the report's template.
 type page struct {
 	Name, Experiment string
 	Groups           []*Group
 	Rows             []pageRow
 	Broken           []string
-	Slowest          []string // of the cancelled jobs, how long their tasks remained
+	Slowest          []string // descriptions of the slowest cancellations
 	Charts           []pageCharts
 	Made             time.Time
 }
@@ -68,7 +68,7 @@
 </body></html>
 `))
 
-// Report makes one page of the result in a directory.
+// Report writes an HTML report of the result in a directory.
 func Report(dir, out string) error {
 	r, err := ReadResult(dir)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return os.Rename(out+".part", out)
 }
 
-// course is what the charts of one run are drawn from.
+// timeline holds the data for the charts of one run.
 type timeline struct {
 	at      []time.Duration
 	samples []history.Sample
@@ -153,19 +153,19 @@
 		if f := &c.faults[i]; f.to < 0 {
 			f.to = end
 		} else if f.to == f.from {
-			f.to += end / 300 // so that it can be seen
+			f.to += end / 300 // a visible width for a fault without duration
 		}
 	}
 	return c, err
 }
 
-// line is one line of a chart.
+// line is one curve of a chart.
 type line struct {
 	name   string
 	points plotter.XYs
 }
 
-// over gives a line over the samples.
+// series returns the curve of a value over the samples.
 func (c *timeline) series(name string, f func(n int) float64) line {
 	l := line{name: name}
 	for n, at := range c.at {
@@ -174,7 +174,7 @@
 	return l
 }
 
-// rate is a line of how fast a count grows, a second.
+// rate returns the curve of a count's growth per second.
 func (c *timeline) rate(name string, count func(*history.Sample) float64) line {
 	return c.series(name, func(n int) float64 {
 		if n == 0 {
@@ -184,7 +184,7 @@
 	})
 }
 
-// charts draws the first of a group's runs, and the waits of all of them.
+// charts draws the timeline of the group's first run, and the waits and cancellation times of all runs.
 func (g *Group) charts(events string) (p pageCharts, err error) {
 	c, err := readTimeline(events)
 	if err != nil {
@@ -230,12 +230,12 @@
 	return p, err
 }
 
-// gone is the share of cancelled jobs whose tasks were gone within a time.
+// cancellationTimes returns the share of cancelled jobs whose tasks had ended, by time since the cancellation.
 func (g *Group) cancellationTimes() (l line, err error) {
 	merged := newHistogram()
 	for _, s := range g.Runs {
 		if len(s.Cancelled.Took) == 0 {
-			continue // kept by a version that did not measure it
+			continue // written by a version without this histogram
 		}
 		h, err := hdrhistogram.Decode(s.Cancelled.Took)
 		if err != nil {
@@ -246,7 +246,7 @@
 	return quantileLine("cancelled jobs", merged), nil
 }
 
-// quantiles is a line over the quantiles of a histogram of milliseconds; no points if it is empty.
+// quantileLine returns the curve of the quantiles of a histogram in milliseconds, without points if it is empty.
 func quantileLine(name string, h *hdrhistogram.Histogram) line {
 	l := line{name: name}
 	if h.TotalCount() == 0 {
@@ -258,7 +258,7 @@
 	return l
 }
 
-// waits are the shares of jobs that began within a time, by class.
+// waits returns, for each class, the share of jobs that had begun by time since submission.
 func (g *Group) waits() (lines []line, err error) {
 	merged := map[string]*hdrhistogram.Histogram{}
 	for _, s := range g.Runs {
@@ -284,7 +284,7 @@
 var palette = []color.Color{color.RGBA{0x1b, 0x6c, 0xa8, 0xff}, color.RGBA{0xd9, 0x6b, 0x0b, 0xff}, color.RGBA{0x2f, 0x8f, 0x4e, 0xff},
 	color.RGBA{0x8a, 0x3f, 0x9c, 0xff}, color.RGBA{0x90, 0x50, 0x30, 0xff}, color.RGBA{0x40, 0x40, 0x40, 0xff}}
 
-// draw draws lines, and behind them when something failed.
+// drawChart draws curves over shaded intervals in which faults were active.
 func drawChart(title, x, y string, lines []line, faults []faultSpan) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -324,8 +324,8 @@
 		return "", err
 	}
 	svg := b.Bytes()
-	if at := bytes.Index(svg, []byte("<svg")); at > 0 { // without the head of a file of its own
+	if at := bytes.Index(svg, []byte("<svg")); at > 0 { // drop the XML header of a standalone file
 		svg = svg[at:]
 	}
-	return template.HTML(svg), nil // of numbers and names of classes, which the plot escapes
+	return template.HTML(svg), nil // contains only numbers and class names, which the plot escapes
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -253,7 +253,7 @@
 	}
 	bed.launcher = &processLauncher{program: program, files: files, logs: dir, running: map[string]*process{}, exited: func(name string, err error) {
 		bed.world.Note(history.Event{Kind: history.NodeDown, Node: name, Cause: fmt.Sprint("ended by itself: ", err)})
-		slog.Error("a controller ended by itself", "name", name, "err", err)
+		slog.Error("controller exited unexpectedly", "name", name, "err", err)
 	}}
 	return bed, nil
 }
