--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,13 +19,13 @@
 	"daledyke/internal/history"
 )
 
-// TestMain keeps the logs out of the tests' output, and plays runs for them: as the
-// program does, in a process of its own.
+// TestMain discards log output. In a child process that a test starts for a run, it executes the run instead, as the
+// program does.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if dir := os.Getenv(runDirVariable); dir != "" {
 		if os.Getenv(runDirVariable+"_FAILS") != "" {
-			fmt.Fprintln(os.Stderr, "panic: as it was told")
+			fmt.Fprintln(os.Stderr, "panic: failure requested by the test")
 			os.Exit(2)
 		}
 		virtual, err := Virtual(dir)
@@ -38,10 +38,11 @@
 	os.Exit(m.Run())
 }
 
-// playDir, set for a process of this test, is the run that it plays.
+// runDirVariable is the environment variable with the directory of the run that a child process executes.
 const runDirVariable = "DALEDYKE_TEST_PLAY"
 
-// here is a command line that has a process of this test play the run named last.
+// commandOfThisTest is a command line that executes a run in a child process of this test; the run's directory is
+// appended.
 var commandOfThisTest = []string{"/bin/sh", "-c", runDirVariable + `="$1" exec "$0"`, os.Args[0]}
 
 const smallExperiment = `(experiment "small"
@@ -60,8 +61,8 @@
   (team "us" (cpus 10 64)) (aim wait "render" "20s" 0.9)
   (class "render" (team "us") (arrivals (start 3) (poisson "9s")) (tasks (choice 1 3 4 1)) (images 5) (types "big" "little")))`
 
-// An experiment with faults inside each other is played, kept, and made a page of; its
-// events are whole and keep the rules when they are checked again.
+// An experiment with overlapping faults runs, is stored, and yields a report. Its stored events are complete, violate
+// no rule when they are checked again, and give the same summary.
 func TestExperimentRunsEndToEnd(t *testing.T) {
 	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
@@ -76,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if last != 1 || len(res.Runs) != 2 {
-		t.Errorf("%d runs, %v of them done", len(res.Runs), last)
+		t.Errorf("%d runs, progress %v", len(res.Runs), last)
 	}
 	for _, s := range res.Runs {
 		if len(s.Broken) > 0 || s.Classes["learn"].Done != 2 || s.Classes["proof"].Begun != 2 || s.Classes["render"].Accepted != s.Classes["render"].Jobs || s.Money <= 0 {
@@ -93,7 +94,7 @@
 		})
 		again, merr := m.Summary()
 		if err = errors.Join(err, merr); err != nil || len(c.Violations()) > 0 || again.Starts != s.Starts || again.Used != s.Used || !reflect.DeepEqual(again.Cancelled, s.Cancelled) {
-			t.Errorf("read again: %v, %v; %d starts of %d", err, c.Violations(), again.Starts, s.Starts)
+			t.Errorf("after reading the events again: error %v, violations %v; %d starts, want %d", err, c.Violations(), again.Starts, s.Starts)
 		}
 		if kinds[history.FaultBegins] != 5 || kinds[history.FaultEnds] != 5 || kinds[history.NodeUp] != 4 || kinds[history.Sampled] < 40 {
 			t.Errorf("events by kind: %v", kinds)
@@ -106,17 +107,17 @@
 	charts := 6
 	for _, s := range res.Runs {
 		if len(s.Cancelled.Worst) > 0 {
-			charts = 7 // one more, of when the tasks of cancelled jobs were gone
+			charts = 7 // one more, for the times until the tasks of cancelled jobs ended
 		}
 	}
 	raw, err := os.ReadFile(page)
 	if err != nil || strings.Count(string(raw), "<svg") != charts || !strings.Contains(string(raw), "learn: wait, 90%, s") {
-		t.Errorf("a page of %d bytes, %v", len(raw), err)
+		t.Errorf("a report of %d bytes, %v, lacks charts or measures", len(raw), err)
 	}
 	if _, err := r.Run(t.Context(), e); !errors.Is(err, ErrNotEmpty) {
-		t.Errorf("into the same directory: %v", err)
+		t.Errorf("a second run into the same directory: %v", err)
 	}
-	// What was cut short is no result.
+	// Truncated events and a missing index are reported.
 	events := filepath.Join(dir, "runs", res.Runs[0].Run, eventsFile)
 	whole, err := os.ReadFile(events)
 	if err == nil {
@@ -126,19 +127,19 @@
 		t.Fatal(err)
 	}
 	if err := Report(dir, page); err == nil || !strings.Contains(err.Error(), eventsFile) {
-		t.Errorf("of events cut short: %v", err)
+		t.Errorf("a report of truncated events: %v", err)
 	}
 	if err := os.Remove(filepath.Join(dir, resultFile)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadResult(dir); err == nil || !strings.Contains(err.Error(), "no whole result") {
-		t.Errorf("without its index: %v", err)
+		t.Errorf("a result without result.json: %v", err)
 	}
 }
 
-// The state service vanishes while a crowd of jobs is taken and placed, and returns; half
-// of the controllers are killed meanwhile, and machines come late and unexpected. Every job
-// gets one final answer, and is done once.
+// The state service becomes unavailable while a burst of jobs is accepted and placed, and recovers. Meanwhile half of
+// the controllers are killed, and machines boot late and after their rentals were given up. Every job gets one final
+// response and completes once.
 func TestStateServiceOutageDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "vanishes" (controllers 4) (machines 30) (length "90s") (rest "4m")
@@ -163,7 +164,7 @@
 		}
 		for job, codes := range final {
 			if len(codes) != 1 {
-				t.Errorf("%s is answered %v", job, codes)
+				t.Errorf("%s: final responses of different kinds: %v", job, codes)
 			}
 		}
 		for name, c := range sum.Classes {
@@ -172,12 +173,12 @@
 			}
 		}
 		if len(final) != 64 {
-			t.Errorf("%d jobs have a final answer", len(final))
+			t.Errorf("%d jobs have a final response, want 64", len(final))
 		}
 	})
 }
 
-// A run whose process fails leaves no result, and its last words are told.
+// A run whose process fails leaves no result, and the error contains the end of its log.
 func TestFailedRunLeavesNoResult(t *testing.T) {
 	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
@@ -186,15 +187,15 @@
 	dir := filepath.Join(t.TempDir(), "result")
 	t.Setenv(runDirVariable+"_FAILS", "yes")
 	_, err = (&Runner{Dir: dir, Command: commandOfThisTest}).Run(t.Context(), e)
-	if err == nil || !strings.Contains(err.Error(), "as it was told") {
+	if err == nil || !strings.Contains(err.Error(), "failure requested by the test") {
 		t.Errorf("%v", err)
 	}
 	if _, err := ReadResult(dir); err == nil {
-		t.Error("there is a result")
+		t.Error("a failed run left a result")
 	}
 }
 
-// The same seed gives the same jobs, whatever other classes there are.
+// The same seed gives the same jobs in a class, whatever the other classes are.
 func TestPlannedJobsAreReproducible(t *testing.T) {
 	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
@@ -222,7 +223,7 @@
 		times := a.submissionTimes(time.Hour, 1, randomSource(1, "x"))
 		counts[a.Kind] = len(times)
 		if n := len(times); n < 3400 || n > 3800 {
-			t.Errorf("%s: %d in an hour", c, n)
+			t.Errorf("%s: %d jobs in an hour", c, n)
 		}
 		early := 0
 		for _, at := range times {
@@ -231,13 +232,12 @@
 			}
 		}
 		if share := float64(early) / float64(len(times)); a.Kind == "swing" && (share < 0.72 || share > 0.85) { // 1/2 + 0.9/pi
-			t.Errorf("%v of a swing's jobs come in its first half", share)
+			t.Errorf("share %v of the jobs of a swing in the first half of its period", share)
 		}
 	}
 }
 
-// Experiments are written as they are read, and what is wrong with one is told with its
-// line.
+// Formatting and parsing of experiments are inverse, the shipped experiments load, and errors name their line.
 func TestExperimentFiles(t *testing.T) {
 	for seed := range uint64(40) {
 		e := Random(seed, 5*time.Minute)
@@ -258,7 +258,7 @@
 	}
 	shipped, err := filepath.Glob("../../deploy/lab/*.edn")
 	if err != nil || len(shipped) < 3 {
-		t.Errorf("ready experiments: %v, %v", shipped, err)
+		t.Errorf("shipped experiments: %v, %v", shipped, err)
 	}
 	for _, file := range shipped {
 		if _, err := Load(file); err != nil {
@@ -300,7 +300,7 @@
 	}
 }
 
-// FuzzParse: whatever is read is written as it is read.
+// FuzzParse checks that every experiment that parses is formatted to one that parses to the same.
 func FuzzParse(f *testing.F) {
 	f.Add(smallExperiment)
 	f.Add(Random(3, time.Minute).String())
@@ -316,8 +316,8 @@
 	})
 }
 
-// What breaks is made smaller as far as it goes: of an experiment with much in it that
-// breaks for one fault and one class, only these are left.
+// An experiment is shrunk as far as possible: if one fault and one class cause the violation, only these remain. The
+// number of tries is bounded.
 func TestShrink(t *testing.T) {
 	e := Random(11, 8*time.Minute)
 	e.Faults = append(e.Faults, Fault{At: 100 * time.Second, Kind: "cloud-outage", Args: []string{"7s"}})
@@ -343,8 +343,8 @@
 	}
 }
 
-// A hunt sees a rule that breaks, and saves the smallest experiment that does, which
-// breaks it again: here runs are told broken wherever the state service is away.
+// A hunt detects a violation and saves the smallest experiment that causes it. Here a script reports a violation for
+// every run with an outage of the state service.
 func TestHunt(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "hunt")
 	fake := filepath.Join(t.TempDir(), "fake.sh")
@@ -357,7 +357,7 @@
 	found, err := Hunt(t.Context(), &Runner{Dir: dir, Command: []string{"/bin/sh", fake}}, HuntOptions{Seed: 1, Runs: 10, Length: 4 * time.Minute,
 		Printf: func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }})
 	if err != nil || len(found) == 0 || len(found) == 10 {
-		t.Fatalf("%d found, %v: %v", len(found), err, lines)
+		t.Fatalf("%d findings, %v: %v", len(found), err, lines)
 	}
 	for _, f := range found {
 		e, err := Load(f.File)
@@ -367,8 +367,8 @@
 	}
 }
 
-// A hunt varies the experiments in which cancelled work remained longest: here runs with more faults
-// are told to come closer to the bound, and every other experiment has those of one that came close.
+// A hunt mutates the experiments in which cancelled tasks remained longest. Here a script reports runs with more
+// faults as closer to the bound; every other experiment must share most faults with an earlier one.
 func TestHuntMutatesNearMisses(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "hunt")
 	fake := filepath.Join(t.TempDir(), "fake.sh")
@@ -404,7 +404,7 @@
 	}
 }
 
-// Mutated experiments can be played, are written as they are read, and differ from what they come from.
+// Mutated experiments are valid, survive formatting and parsing, differ from the original and leave it unchanged.
 func TestMutatedExperimentsAreValid(t *testing.T) {
 	for seed := range uint64(60) {
 		e := Random(seed%7, 5*time.Minute)
@@ -415,13 +415,13 @@
 			t.Fatalf("seed %d: %v\n%s", seed, err, m)
 		}
 		if e.String() != was {
-			t.Fatalf("seed %d: what was mutated has changed", seed)
+			t.Fatalf("seed %d: the original experiment has changed", seed)
 		}
 	}
 }
 
-// Users who cancel at once are told so, and what ran for them on machines that hang meanwhile is
-// measured: it lasts for about a lease where the machines can't be returned meanwhile.
+// Simultaneous cancellations are confirmed, and the remaining time of their tasks on machines that hang meanwhile is
+// measured: up to a lease, as the machines cannot be returned during an outage of the cloud.
 func TestCancelNowIsMeasured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "called-off" (controllers 3) (machines 12) (length "2m") (rest "1m")
@@ -442,7 +442,7 @@
 	})
 }
 
-// Intervals are those of Student's t, and a version is compared seed by seed.
+// Confidence intervals follow Student's t, and versions are compared seed by seed.
 func TestComparison(t *testing.T) {
 	if e := estimate([]float64{4, 6, 8, math.NaN()}); e.Mean != 6 || math.Abs(e.HalfWidth-4.968) > 0.01 || e.N != 3 {
 		t.Errorf("%+v", e)
@@ -469,12 +469,12 @@
 		}
 		value, difference := groups[1].estimate(m)
 		if value.Differs() || difference == nil || !difference.Differs() || math.Abs(difference.Mean-5.15) > 1e-9 {
-			t.Errorf("%v, %v: the seeds differ more than the versions", value, difference)
+			t.Errorf("%v, %v: the versions must differ only in the comparison by seed", value, difference)
 		}
 	}
 }
 
-// Faults of one kind that overlap end when the last of them does.
+// Overlapping faults of one kind end with the last of them.
 func TestOverlappingFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "overlap" (controllers 1) (machines 2) (length "40s") (rest "20s")
@@ -503,7 +503,7 @@
 		}
 		raw, _ := json.Marshal(firstRental)
 		if firstRental < 25*time.Second {
-			t.Errorf("rented at %s, in an outage of the cloud", raw)
+			t.Errorf("rented at %s, during an outage of the cloud", raw)
 		}
 	})
 }
--- a/internal/lab/launcher_test.go
+++ b/internal/lab/launcher_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A connection that goes out while a controller is not there, by the very port that is the
-// controller's, does not keep it from coming up.
+// An outgoing connection from the port of a controller that is down must not keep the controller from starting
+// again.
 func TestOutgoingConnectionLeavesControllerPortUsable(t *testing.T) {
 	remote, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,23 +32,23 @@
 		}
 		outgoing, err := (&net.Dialer{LocalAddr: from}).Dial("tcp", remote.Addr().String())
 		if err != nil {
-			t.Logf("port %s is another's: %v", port, err) // by chance
+			t.Logf("port %s is in use on 127.0.0.1: %v", port, err) // by another process, by chance
 			continue
 		}
 		defer outgoing.Close()
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
-			t.Errorf("the controller of %s can't come up: %v", addr, err)
+			t.Errorf("the controller at %s cannot listen: %v", addr, err)
 			continue
 		}
 		listener.Close()
 	}
 	if outgoing, err := net.Dial("tcp", remote.Addr().String()); err != nil || !strings.HasPrefix(outgoing.LocalAddr().String(), "127.0.0.1:") {
-		t.Errorf("connections go out from %v: %v", outgoing, err)
+		t.Errorf("an outgoing connection has the local side %v, error %v", outgoing, err)
 	}
 }
 
-// A controller that ends by itself is told with what it said last.
+// The exit of a controller that was not killed is reported with the end of its log.
 func TestUnexpectedControllerExitIsReported(t *testing.T) {
 	dir, reported := t.TempDir(), make(chan error, 1)
 	program := filepath.Join(dir, "program")
@@ -65,6 +65,6 @@
 			t.Error(text)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it is not told")
+		t.Error("the exit is not reported")
 	}
 }
