--- a/internal/lab/cancelled.go
+++ b/internal/lab/cancelled.go
@@ -17,11 +17,11 @@
 	// Within is the time allowed after the confirmation, WorstShare the longest time taken as a share of it.
 	Within     time.Duration `json:"within"`
 	WorstShare float64       `json:"worstShare"`
-	// Took is a histogram, in milliseconds and HdrHistogram's encoding, of the jobs that still had tasks when the
-	// cancellation was confirmed.
+	// Took is a histogram, in milliseconds and HdrHistogram's encoding, of the jobs that still had tasks when
+	// the cancellation was confirmed.
 	Took []byte `json:"took"`
-	// StartedAfter is the number of start commands carried out after the confirmation, SentAfter the number of these
-	// that were also sent after it.
+	// StartedAfter is the number of start commands carried out after the confirmation, SentAfter the number
+	// of these that were also sent after it.
 	StartedAfter int `json:"startedAfter"`
 	SentAfter    int `json:"sentAfter"`
 	// Worst are the slowest cancellations, at most maxWorstCancelled.
--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// runCommand runs a command that executes a run, and returns its duration and its peak memory in MB. Its standard
-// error goes to the log file.
+// runCommand runs a command that executes a run, and returns its duration and its peak memory in MB. Its
+// standard error goes to the log file.
 func runCommand(ctx context.Context, command []string, log string, progress func(float64)) (took time.Duration, memory float64, err error) {
 	logFile, err := os.Create(log)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return text[max(0, len(text)-most):]
 }
 
-// ExecuteInProcess executes the run in a directory in this process and exits. Virtual time needs a testing/synctest
-// bubble, which only a test can open; therefore this process runs the run as a test.
+// ExecuteInProcess executes the run in a directory in this process and exits. Virtual time needs a
+// testing/synctest bubble, which only a test can open; therefore this process runs the run as a test.
 func ExecuteInProcess(dir string, virtual bool) {
 	execute := func(ctx context.Context) error {
 		return ExecuteRun(ctx, dir, func(share float64) { fmt.Println(strconv.FormatFloat(share, 'f', 4, 64)) })
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -16,8 +16,8 @@
 	"daledyke/internal/history"
 )
 
-// Estimate is a mean over N seeds with half the width of its 95% confidence interval by Student's t; the width is
-// NaN for a single seed.
+// Estimate is a mean over N seeds with half the width of its 95% confidence interval by Student's t; the
+// width is NaN for a single seed.
 type Estimate struct {
 	Mean, HalfWidth float64
 	N               int
@@ -168,16 +168,16 @@
 		}
 		return v
 	}
-	mine := values(g.Runs)
-	value = estimate(mine)
+	groupValues := values(g.Runs)
+	value = estimate(groupValues)
 	if g.base == nil || len(g.base.Runs) != len(g.Runs) {
 		return value, nil
 	}
-	theirs := values(g.base.Runs)
-	for i := range mine {
-		mine[i] -= theirs[i]
+	baseValues := values(g.base.Runs)
+	for i := range groupValues {
+		groupValues[i] -= baseValues[i]
 	}
-	d := estimate(mine)
+	d := estimate(groupValues)
 	return value, &d
 }
 
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -1,6 +1,6 @@
-// Package lab runs experiments with daledyke in an emulated world. An experiment describes a deployment, its load and
-// the faults to inject. The lab runs it in virtual time in one process or in real time on loopback, records all
-// events, checks the rules of the protocol on them, and compares the results.
+// Package lab runs experiments with daledyke in an emulated world. An experiment describes a deployment, its
+// load and the faults to inject. The lab runs it in virtual time in one process or in real time on loopback,
+// records all events, checks the rules of the protocol on them, and compares the results.
 package lab
 
 import (
@@ -40,8 +40,8 @@
 	FDLimit      int
 }
 
-// Example returns a deployment with the given numbers of controllers and machines. Its figures describe a fictional
-// printing company with three classes of jobs.
+// Example returns a deployment with the given numbers of controllers and machines. Its figures describe a
+// fictional printing company with three classes of jobs.
 func Example(controllers, machines int) Deployment {
 	d := Deployment{Zones: []string{"north", "south", "west"}, Machines: machines,
 		ReportEvery: 4 * time.Second, Lease: 24 * time.Second, GangWait: 40 * time.Second, GangPeer: 4 * time.Second, CancelWithin: 45 * time.Second,
@@ -66,8 +66,8 @@
 	return d
 }
 
-// SpeedUp makes machines boot and fetch images faster by a factor, so that a demonstration does not wait for emulated
-// machines.
+// SpeedUp makes machines boot and fetch images faster by a factor, so that a demonstration does not wait for
+// emulated machines.
 func (d *Deployment) SpeedUp(factor float64) {
 	for i := range d.Types {
 		d.Types[i].BootS /= factor
@@ -75,8 +75,8 @@
 	}
 }
 
-// Setup returns the settings of the emulated world around the deployment's controllers. If varies is set, the world
-// deviates from its nominal values as far as the protocol allows.
+// Setup returns the settings of the emulated world around the deployment's controllers. If varies is set, the
+// world deviates from its nominal values as far as the protocol allows.
 func (d *Deployment) Setup(seed uint64, varies bool) emulator.Setup {
 	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, Most: d.MaxByType, CloudRPS: d.CloudRPS, State: d.State,
 		ReportEvery: d.ReportEvery, Lease: d.Lease, GangWait: d.GangWait, GangPeer: d.GangPeer, CancelWithin: d.CancelWithin, Seed: seed}
@@ -88,7 +88,8 @@
 
 // Addresses are the listening addresses of a deployment.
 type Addresses struct {
-	// Front, Inner and State are keyed by controller; State is the address at which the state service serves it.
+	// Front, Inner and State are keyed by controller; State is the address at which the state service serves
+	// it.
 	Front, Inner, State map[string]string
 	Cloud               string
 }
@@ -133,7 +134,8 @@
 	return d.Zones[n%len(d.Zones)]
 }
 
-// WriteSettings writes the settings files of all controllers into a directory and returns their names by controller.
+// WriteSettings writes the settings files of all controllers into a directory and returns their names by
+// controller.
 func (d *Deployment) WriteSettings(dir string, a Addresses) (files map[string]string, err error) {
 	files = map[string]string{}
 	for _, name := range d.Controllers {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -14,8 +14,8 @@
 // Experiment describes a deployment, its load, the faults injected into it, and the variants that are compared.
 type Experiment struct {
 	Name string
-	// RealTime runs the controllers as processes on loopback in real time; otherwise they run in this process in
-	// virtual time.
+	// RealTime runs the controllers as processes on loopback in real time; otherwise they run in this process
+	// in virtual time.
 	RealTime    bool
 	Controllers int
 	Machines    int
@@ -79,16 +79,17 @@
 
 // Arrivals describe when the jobs of a class are submitted.
 type Arrivals struct {
-	// Kind is one of start (Count jobs in the first seconds), poisson (one every Gap on average), burst (Count at
-	// once, at At) and swing (as poisson, with a rate that varies sinusoidally by Depth over each Period).
+	// Kind is one of start (Count jobs in the first seconds), poisson (one every Gap on average), burst
+	// (Count at once, at At) and swing (as poisson, with a rate that varies sinusoidally by Depth over each
+	// Period).
 	Kind            string
 	Count           int
 	Gap, At, Period time.Duration
 	Depth           float64
 }
 
-// Distribution is a constant or a distribution: const (A), uniform (from A to B), lognormal (median A, sigma B),
-// exponential (mean A), pareto (minimum A, index B) or choice (values with weights).
+// Distribution is a constant or a distribution: const (A), uniform (from A to B), lognormal (median A, sigma
+// B), exponential (mean A), pareto (minimum A, index B) or choice (values with weights).
 type Distribution struct {
 	Kind   string
 	A, B   float64
--- a/internal/lab/experiment_parse.go
+++ b/internal/lab/experiment_parse.go
@@ -315,9 +315,9 @@
 	if len(values) != 1 && name != "image" && name != "saves" && name != "arrivals" && name != "types" && name != "team" {
 		return fmt.Errorf("one value is needed, not %d", len(values))
 	}
-	setShare := func(into *float64) { *into, err = parseFloat(value, 0, 1) }
-	setBool := func(into *bool) {
-		if *into = value == "true"; value != "true" && value != "false" {
+	setShare := func(target *float64) { *target, err = parseFloat(value, 0, 1) }
+	setBool := func(target *bool) {
+		if *target = value == "true"; value != "true" && value != "false" {
 			err = fmt.Errorf("true or false, not %q", value)
 		}
 	}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -17,7 +17,7 @@
 var faultParameters = map[string]string{
 	"state-outage":  "TIME",            // the state service is unavailable to all controllers
 	"state-refuses": "TIME NODE",       // one controller gets 503 from the state service
-	"state-slow":    "TIME BY",         // responses of the state service are delayed by BY
+	"state-slow":    "TIME BY",         // responses of the state service take BY
 	"state-late":    "TIME BY",         // transactions are applied after BY, without a response
 	"state-unheard": "TIME SHARE",      // this share of transactions is applied and the response lost
 	"state-lags":    "TIME NODE BY",    // one controller receives change notifications BY late
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// faultInjector injects faults. Faults of the same kind may overlap: active counts those in progress, and the effect
-// ends with the last of them.
+// faultInjector injects faults. Faults of the same kind may overlap: active counts those in progress, and the
+// effect ends with the last of them.
 type faultInjector struct {
 	deployment *Deployment
 	world      *emulator.World
@@ -115,15 +115,15 @@
 	rng    *rand.Rand
 }
 
-// The simultaneous cancellations of a cancel-now fault spread over cancelSpread; at most maxHung machines of the
-// cancelled jobs hang.
+// The simultaneous cancellations of a cancel-now fault spread over cancelSpread; at most maxHung machines of
+// the cancelled jobs hang.
 const (
 	cancelSpread = 200 * time.Millisecond
 	maxHung      = 8
 )
 
-// cancelNow cancels n running jobs as their users. If hang is set, it hangs some of the machines of these jobs and
-// returns them.
+// cancelNow cancels n running jobs as their users. If hang is set, it hangs some of the machines of these
+// jobs and returns them.
 func (b *faultInjector) cancelNow(n int, hang bool, after func(time.Duration, func())) (hung []string) {
 	var jobs, machines []string
 	b.world.Rules(func(r *history.Checker) {
@@ -224,7 +224,8 @@
 	}
 }
 
-// zoneCut returns the connections that cross the boundary of a zone. The services and the users belong to no zone.
+// zoneCut returns the connections that cross the boundary of a zone. The services and the users belong to no
+// zone.
 func zoneCut(zone string, zoneOf func(host string) string) func(from, to string) bool {
 	return func(from, to string) bool {
 		_, name := splitAddress(to)
--- a/internal/lab/faults_begin.go
+++ b/internal/lab/faults_begin.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// activeFault is a fault in progress. Each begin method handles the faults of one component and returns false for
-// other kinds.
+// activeFault is a fault in progress. Each begin method handles the faults of one component and returns false
+// for other kinds.
 type activeFault struct {
 	*faultInjector
 	fault     Fault
@@ -65,23 +65,23 @@
 
 func (r *activeFault) beginStateFault() bool {
 	state := r.world.State
-	switch verb := r.fault.Kind; verb {
+	switch kind := r.fault.Kind; kind {
 	case "state-outage":
-		r.whileActive(verb, state.Outage)
+		r.whileActive(kind, state.Outage)
 	case "state-refuses":
 		node := r.fault.Args[1]
-		r.whileActive(verb+node, func(active bool) { state.Refuse(node, active) })
+		r.whileActive(kind+node, func(active bool) { state.Refuse(node, active) })
 	case "state-slow":
-		r.whileActive(verb, func(active bool) { state.Slow(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { state.Slow(valueIf(active, r.durationArg(1))) })
 	case "state-late":
-		r.whileActive(verb, func(active bool) { state.Late(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { state.Late(valueIf(active, r.durationArg(1))) })
 	case "state-unheard":
-		r.whileActive(verb, func(active bool) { state.Unheard(valueIf(active, r.floatArg(1))) })
+		r.whileActive(kind, func(active bool) { state.Unheard(valueIf(active, r.floatArg(1))) })
 	case "state-lags":
 		node := r.fault.Args[1]
-		r.whileActive(verb+node, func(active bool) { state.Lag(node, valueIf(active, r.durationArg(2))) })
+		r.whileActive(kind+node, func(active bool) { state.Lag(node, valueIf(active, r.durationArg(2))) })
 	case "state-writes":
-		r.whileActive(verb, r.limitWrites)
+		r.whileActive(kind, r.limitWrites)
 	default:
 		return false
 	}
@@ -98,13 +98,13 @@
 }
 
 func (r *activeFault) beginCloudFault() bool {
-	switch verb := r.fault.Kind; verb {
+	switch kind := r.fault.Kind; kind {
 	case "cloud-outage":
-		r.whileActive(verb, r.world.CloudOutage)
+		r.whileActive(kind, r.world.CloudOutage)
 	case "cloud-late":
-		r.whileActive(verb, func(active bool) { r.world.CloudLate(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { r.world.CloudLate(valueIf(active, r.durationArg(1))) })
 	case "capacity":
-		r.whileActive(verb, func(active bool) {
+		r.whileActive(kind, func(active bool) {
 			share := 1.0
 			if active {
 				share = r.floatArg(1)
@@ -112,7 +112,7 @@
 			r.world.Capacity(int(float64(r.deployment.Machines) * share))
 		})
 	case "boots":
-		r.whileActive(verb, func(active bool) {
+		r.whileActive(kind, func(active bool) {
 			factor := 1.0
 			if active {
 				factor = r.floatArg(1)
@@ -126,7 +126,7 @@
 }
 
 func (r *activeFault) beginControllerFault() bool {
-	switch verb := r.fault.Kind; verb {
+	switch kind := r.fault.Kind; kind {
 	case "crash":
 		names := []string{r.fault.Args[1]}
 		if r.fault.Args[1] == "all" {
@@ -137,7 +137,7 @@
 		}
 	case "hangs":
 		node := r.fault.Args[1]
-		r.whileActive(verb+node, func(active bool) {
+		r.whileActive(kind+node, func(active bool) {
 			if err := r.launcher.hang(node, active); err != nil && active {
 				r.fail(err)
 			}
@@ -151,13 +151,13 @@
 // beginMessageFault handles faults of message delivery: cuts, duplicates and delays.
 func (r *activeFault) beginMessageFault() bool {
 	name := r.fault.String()
-	switch verb := r.fault.Kind; verb {
+	switch kind := r.fault.Kind; kind {
 	case "late-commands":
-		r.whileActive(verb, func(active bool) { r.world.HoldCommands(valueIf(active, r.floatArg(1))) })
+		r.whileActive(kind, func(active bool) { r.world.HoldCommands(valueIf(active, r.floatArg(1))) })
 	case "kept-reports":
-		r.whileActive(verb, r.world.KeepReports)
+		r.whileActive(kind, r.world.KeepReports)
 	case "echoes":
-		r.whileActive(verb, func(active bool) { r.world.Echo(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { r.world.Echo(valueIf(active, r.durationArg(1))) })
 	case "cut":
 		r.whileActive(name, func(active bool) { r.setCut(name, active, nodeCut(r.fault.Args[1], r.fault.Args[2])) })
 	case "cut-zone":
@@ -188,8 +188,8 @@
 	return true
 }
 
-// endTroubleAfter ends a trouble of machines after a delay, and the fault with it. Machines that are gone by then
-// are skipped.
+// endTroubleAfter ends a trouble of machines after a delay, and the fault with it. Machines that are gone by
+// then are skipped.
 func (r *activeFault) endTroubleAfter(delay time.Duration, ids []string, end emulator.Trouble) {
 	r.after(delay, func() {
 		for _, id := range ids {
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -21,9 +21,9 @@
 	"daledyke/internal/protocol"
 )
 
-// gateway is the HTTP entry point of a deployment on this machine. It forwards requests to the controllers through
-// the load balancer and stores the specifications of submitted jobs, which the emulated workers need. The store
-// survives a restart.
+// gateway is the HTTP entry point of a deployment on this machine. It forwards requests to the controllers
+// through the load balancer and stores the specifications of submitted jobs, which the emulated workers need.
+// The store survives a restart.
 type gateway struct {
 	world   *emulator.World
 	queues  pbs.Queues
--- a/internal/lab/hunt.go
+++ b/internal/lab/hunt.go
@@ -60,8 +60,8 @@
 	return e
 }
 
-// zonedDeployment gives the experiment controllers in one zone and machines in four, small and large machine types of
-// which one is missing from a zone, and teams that are all limited in one resource.
+// zonedDeployment gives the experiment controllers in one zone and machines in four, small and large machine
+// types of which one is missing from a zone, and teams that are all limited in one resource.
 func zonedDeployment(e *Experiment, rng *rand.Rand) {
 	zones := []string{"inner", "outer", "north", "mole"}
 	n := float64(e.Machines)
@@ -77,9 +77,9 @@
 	}
 }
 
-// cancellationNear returns a fault that cancels running jobs within some seconds of a time. In most cases some of
-// their machines hang from then on: for less than a lease, for about a lease, or for longer than cancelled tasks may
-// remain.
+// cancellationNear returns a fault that cancels running jobs within some seconds of a time. In most cases
+// some of their machines hang from then on: for less than a lease, for about a lease, or for longer than
+// cancelled tasks may remain.
 func cancellationNear(rng *rand.Rand, d *Deployment, at time.Duration) Fault {
 	const spread = 6 * time.Second
 	at += time.Duration(rng.Int64N(int64(2*spread))) - spread/2
@@ -97,7 +97,8 @@
 func combinedFaults(rng *rand.Rand, d *Deployment, length time.Duration) []Fault {
 	at := time.Duration(rng.Int64N(int64(length * 7 / 10)))
 	node, other := d.Controllers[rng.IntN(len(d.Controllers))], d.Controllers[rng.IntN(len(d.Controllers))]
-	// nextTime returns a time up to maxDelay after the previous one; about returns a duration near a nominal one.
+	// nextTime returns a time up to maxDelay after the previous one; about returns a duration near a nominal
+	// one.
 	nextTime := func(maxDelay time.Duration) time.Duration {
 		at += time.Duration(rng.Int64N(int64(maxDelay)))
 		return at.Round(100 * time.Millisecond)
@@ -148,51 +149,53 @@
 }
 
 func randomFault(rng *rand.Rand, d *Deployment, length time.Duration) Fault {
-	lasting := func(most time.Duration) string {
-		return (time.Second + time.Duration(rng.Int64N(int64(most)))).Round(100 * time.Millisecond).String()
+	duration := func(maximum time.Duration) string {
+		return (time.Second + time.Duration(rng.Int64N(int64(maximum)))).Round(100 * time.Millisecond).String()
 	}
-	briefly := func() string { // back before its absence is detected
+	shortDuration := func() string { // back before its absence is detected
 		return (50*time.Millisecond + time.Duration(rng.Int64N(int64(450*time.Millisecond)))).Round(time.Millisecond).String()
 	}
 	node := d.Controllers[rng.IntN(len(d.Controllers))]
 	f := Fault{At: time.Duration(rng.Int64N(int64(length * 9 / 10))).Round(100 * time.Millisecond)}
 	kinds := []func(){
-		func() { f.Kind, f.Args = "state-outage", []string{lasting(2 * d.Lease)} },
-		func() { f.Kind, f.Args = "state-refuses", []string{lasting(3 * d.Lease), node} },
-		func() { f.Kind, f.Args = "state-slow", []string{lasting(time.Minute), lasting(2 * time.Second)} },
-		func() { f.Kind, f.Args = "state-late", []string{lasting(30 * time.Second), lasting(time.Minute)} },
-		func() { f.Kind, f.Args = "state-lags", []string{lasting(time.Minute), node, lasting(5 * time.Second)} },
+		func() { f.Kind, f.Args = "state-outage", []string{duration(2 * d.Lease)} },
+		func() { f.Kind, f.Args = "state-refuses", []string{duration(3 * d.Lease), node} },
+		func() { f.Kind, f.Args = "state-slow", []string{duration(time.Minute), duration(2 * time.Second)} },
+		func() { f.Kind, f.Args = "state-late", []string{duration(30 * time.Second), duration(time.Minute)} },
 		func() {
-			f.Kind, f.Args = "state-writes", []string{lasting(2 * time.Minute), fmt.Sprintf("%.2f", 0.1+0.4*rng.Float64())}
+			f.Kind, f.Args = "state-lags", []string{duration(time.Minute), node, duration(5 * time.Second)}
 		},
-		func() { f.Kind, f.Args = "cloud-outage", []string{lasting(2 * time.Minute)} },
-		func() { f.Kind, f.Args = "cloud-late", []string{lasting(30 * time.Second), lasting(time.Minute)} },
 		func() {
-			f.Kind, f.Args = "capacity", []string{lasting(2 * time.Minute), fmt.Sprintf("%.2f", rng.Float64())}
+			f.Kind, f.Args = "state-writes", []string{duration(2 * time.Minute), fmt.Sprintf("%.2f", 0.1+0.4*rng.Float64())}
 		},
-		func() { f.Kind, f.Args = "crash", []string{lasting(time.Minute), node} },
-		func() { f.Kind, f.Args = "crash", []string{lasting(20 * time.Second), node} },
-		func() { f.Kind, f.Args = "crash", []string{lasting(30 * time.Second), "all"} },
-		func() { f.Kind, f.Args = "crash", []string{briefly(), []string{node, "all"}[rng.IntN(2)]} },
+		func() { f.Kind, f.Args = "cloud-outage", []string{duration(2 * time.Minute)} },
+		func() { f.Kind, f.Args = "cloud-late", []string{duration(30 * time.Second), duration(time.Minute)} },
 		func() {
-			f.Kind, f.Args = "cut", []string{lasting(2 * time.Minute), node, []string{"workers", "siblings", "services", "all"}[rng.IntN(4)]}
+			f.Kind, f.Args = "capacity", []string{duration(2 * time.Minute), fmt.Sprintf("%.2f", rng.Float64())}
 		},
+		func() { f.Kind, f.Args = "crash", []string{duration(time.Minute), node} },
+		func() { f.Kind, f.Args = "crash", []string{duration(20 * time.Second), node} },
+		func() { f.Kind, f.Args = "crash", []string{duration(30 * time.Second), "all"} },
+		func() { f.Kind, f.Args = "crash", []string{shortDuration(), []string{node, "all"}[rng.IntN(2)]} },
 		func() {
-			f.Kind, f.Args = "cut", []string{lasting(2 * time.Minute), node, "services"}
+			f.Kind, f.Args = "cut", []string{duration(2 * time.Minute), node, []string{"workers", "siblings", "services", "all"}[rng.IntN(4)]}
 		},
-		func() { f.Kind, f.Args = "echoes", []string{lasting(2 * time.Minute), lasting(3 * d.Lease)} },
 		func() {
-			f.Kind, f.Args = "machines", []string{[]string{"deafen", "hold", "mute"}[rng.IntN(3)], fmt.Sprint(1 + rng.IntN(10)), lasting(3 * d.Lease)}
+			f.Kind, f.Args = "cut", []string{duration(2 * time.Minute), node, "services"}
+		},
+		func() { f.Kind, f.Args = "echoes", []string{duration(2 * time.Minute), duration(3 * d.Lease)} },
+		func() {
+			f.Kind, f.Args = "machines", []string{[]string{"deafen", "hold", "mute"}[rng.IntN(3)], fmt.Sprint(1 + rng.IntN(10)), duration(3 * d.Lease)}
 		},
 		func() { f.Kind, f.Args = "machines", []string{"reboot", fmt.Sprint(1 + rng.IntN(6))} },
 		func() {
-			f.Kind, f.Args = "cut-zone", []string{lasting(2 * time.Minute), d.Zones[rng.IntN(len(d.Zones))]}
+			f.Kind, f.Args = "cut-zone", []string{duration(2 * time.Minute), d.Zones[rng.IntN(len(d.Zones))]}
 		},
 		func() {
 			f.Kind, f.Args = "machines", []string{[]string{"die", "sicken", "slow", "leave", "taken"}[rng.IntN(5)], fmt.Sprint(1 + rng.IntN(4))}
 		},
 		func() {
-			f.Kind, f.Args = "machines", []string{"hang", fmt.Sprint(1 + rng.IntN(4)), lasting(2 * d.Lease)}
+			f.Kind, f.Args = "machines", []string{"hang", fmt.Sprint(1 + rng.IntN(4)), duration(2 * d.Lease)}
 		},
 		func() { f.Kind, f.Args = "spot-wave", []string{fmt.Sprintf("%.2f", 0.2+0.8*rng.Float64())} },
 	}
@@ -200,7 +203,8 @@
 	return f
 }
 
-// Reductions returns the experiments that result from one reduction of an experiment, the largest reductions first.
+// Reductions returns the experiments that result from one reduction of an experiment, the largest reductions
+// first.
 func Reductions(e *Experiment) (all []*Experiment) {
 	add := func(change func(*Experiment)) {
 		c := *e
@@ -244,7 +248,8 @@
 	return all
 }
 
-// Shrink reduces an experiment as long as breaks still reports a violation, with at most the given number of tries.
+// Shrink reduces an experiment as long as breaks still reports a violation, with at most the given number of
+// tries.
 func Shrink(e *Experiment, tries int, breaks func(*Experiment) (bool, error)) (*Experiment, error) {
 	for progressed := true; progressed; {
 		progressed = false
@@ -275,8 +280,9 @@
 	File       string
 }
 
-// Hunt runs random experiments and shrinks each that violates a rule. Every other experiment is a mutation of one in
-// which the tasks of a cancelled job remained longest. Findings are saved as files in the runner's directory.
+// Hunt runs random experiments and shrinks each that violates a rule. Every other experiment is a mutation of
+// one in which the tasks of a cancelled job remained longest. Findings are saved as files in the runner's
+// directory.
 func Hunt(ctx context.Context, r *Runner, o HuntOptions) (found []Finding, err error) {
 	dir := r.Dir
 	var misses nearMisses
@@ -335,16 +341,16 @@
 	return strings.Join(all, ", ")
 }
 
-// findViolations runs an experiment and returns the violations of rules, and the longest time that the tasks of a
-// cancelled job took to end as a share of the time allowed.
+// findViolations runs an experiment and returns the violations of rules, and the longest time that the tasks
+// of a cancelled job took to end as a share of the time allowed.
 func (r *Runner) findViolations(ctx context.Context, e *Experiment, dir string) (broken []history.Violation, share float64, err error) {
-	one := *r
-	one.Dir, one.Progress = dir, nil
-	res, err := one.Run(ctx, e)
+	runner := *r
+	runner.Dir, runner.Progress = dir, nil
+	result, err := runner.Run(ctx, e)
 	if err != nil {
 		return nil, 0, err
 	}
-	for _, s := range res.Runs {
+	for _, s := range result.Runs {
 		broken = append(broken, s.Broken...)
 		share = max(share, s.Cancelled.WorstShare)
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,8 +19,8 @@
 	"daledyke/internal/history"
 )
 
-// TestMain discards log output. In a child process that a test starts for a run, it executes the run instead, as the
-// program does.
+// TestMain discards log output. In a child process that a test starts for a run, it executes the run instead,
+// as the program does.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if dir := os.Getenv(runDirVariable); dir != "" {
@@ -41,8 +41,8 @@
 // runDirVariable is the environment variable with the directory of the run that a child process executes.
 const runDirVariable = "DALEDYKE_TEST_PLAY"
 
-// commandOfThisTest is a command line that executes a run in a child process of this test; the run's directory is
-// appended.
+// commandOfThisTest is a command line that executes a run in a child process of this test; the run's
+// directory is appended.
 var commandOfThisTest = []string{"/bin/sh", "-c", runDirVariable + `="$1" exec "$0"`, os.Args[0]}
 
 const smallExperiment = `(experiment "small"
@@ -61,8 +61,8 @@
   (team "us" (cpus 10 64)) (aim wait "render" "20s" 0.9)
   (class "render" (team "us") (arrivals (start 3) (poisson "9s")) (tasks (choice 1 3 4 1)) (images 5) (types "big" "little")))`
 
-// An experiment with overlapping faults runs, is stored, and yields a report. Its stored events are complete, violate
-// no rule when they are checked again, and give the same summary.
+// An experiment with overlapping faults runs, is stored, and yields a report. Its stored events are complete,
+// violate no rule when they are checked again, and give the same summary.
 func TestExperimentRunsEndToEnd(t *testing.T) {
 	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
@@ -137,9 +137,9 @@
 	}
 }
 
-// The state service becomes unavailable while a burst of jobs is accepted and placed, and recovers. Meanwhile half of
-// the controllers are killed, and machines boot late and after their rentals were given up. Every job gets one final
-// response and completes once.
+// The state service becomes unavailable while a burst of jobs is accepted and placed, and recovers. Meanwhile
+// half of the controllers are killed, and machines boot late and after their rentals were given up. Every job
+// gets one final response and completes once.
 func TestStateServiceOutageDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "vanishes" (controllers 4) (machines 30) (length "90s") (rest "4m")
@@ -316,8 +316,8 @@
 	})
 }
 
-// An experiment is shrunk as far as possible: if one fault and one class cause the violation, only these remain. The
-// number of tries is bounded.
+// An experiment is shrunk as far as possible: if one fault and one class cause the violation, only these
+// remain. The number of tries is bounded.
 func TestShrink(t *testing.T) {
 	e := Random(11, 8*time.Minute)
 	e.Faults = append(e.Faults, Fault{At: 100 * time.Second, Kind: "cloud-outage", Args: []string{"7s"}})
@@ -343,8 +343,8 @@
 	}
 }
 
-// A hunt detects a violation and saves the smallest experiment that causes it. Here a script reports a violation for
-// every run with an outage of the state service.
+// A hunt detects a violation and saves the smallest experiment that causes it. Here a script reports a
+// violation for every run with an outage of the state service.
 func TestHunt(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "hunt")
 	fake := filepath.Join(t.TempDir(), "fake.sh")
@@ -367,8 +367,8 @@
 	}
 }
 
-// A hunt mutates the experiments in which cancelled tasks remained longest. Here a script reports runs with more
-// faults as closer to the bound; every other experiment must share most faults with an earlier one.
+// A hunt mutates the experiments in which cancelled tasks remained longest. Here a script reports runs with
+// more faults as closer to the bound; every other experiment must share most faults with an earlier one.
 func TestHuntMutatesNearMisses(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "hunt")
 	fake := filepath.Join(t.TempDir(), "fake.sh")
@@ -404,7 +404,8 @@
 	}
 }
 
-// Mutated experiments are valid, survive formatting and parsing, differ from the original and leave it unchanged.
+// Mutated experiments are valid, survive formatting and parsing, differ from the original and leave it
+// unchanged.
 func TestMutatedExperimentsAreValid(t *testing.T) {
 	for seed := range uint64(60) {
 		e := Random(seed%7, 5*time.Minute)
@@ -420,8 +421,8 @@
 	}
 }
 
-// Simultaneous cancellations are confirmed, and the remaining time of their tasks on machines that hang meanwhile is
-// measured: up to a lease, as the machines cannot be returned during an outage of the cloud.
+// Simultaneous cancellations are confirmed, and the remaining time of their tasks on machines that hang
+// meanwhile is measured: up to a lease, as the machines cannot be returned during an outage of the cloud.
 func TestCancelNowIsMeasured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "called-off" (controllers 3) (machines 12) (length "2m") (rest "1m")
--- a/internal/lab/launcher.go
+++ b/internal/lab/launcher.go
@@ -150,9 +150,10 @@
 	}
 }
 
-// freePorts returns unused loopback addresses on a random host other than 127.0.0.1. Outgoing connections use
-// 127.0.0.1 with ports that the kernel picks; with controllers on that host, an outgoing connection once held a
-// controller's port, and the controller could not start.
+// freePorts returns unused loopback addresses on a random host other than 127.0.0.1, so that nothing else on
+// this machine takes a controller's port before it starts or while it is down. Outgoing connections use
+// 127.0.0.1 with ports that the kernel picks; with controllers on that host, an outgoing connection once held
+// a controller's port, and the controller could not start.
 func freePorts(n int) (addrs []string, err error) {
 	host := netip.AddrFrom4([4]byte{127, byte(1 + rand.N(254)), byte(rand.N(256)), byte(1 + rand.N(254))})
 	var open []net.Listener
@@ -193,8 +194,8 @@
 	}
 }
 
-// Up is a deployment running on this machine: the emulated world in this process, each controller in a process of its
-// own.
+// Up is a deployment running on this machine: the emulated world in this process, each controller in a
+// process of its own.
 type Up struct {
 	// Address is the address of the gateway, which forwards to the load balancer.
 	Address     string
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -27,8 +27,8 @@
 	// these jobs that began within history.BeginWithin.
 	ServedLargest map[string]float64 `json:"servedLargest"`
 	BegunLargest  map[string]float64 `json:"begunLargest"`
-	// Unanswered is the longest period without a response to the polls for one accepted job, after the end of the
-	// last trouble.
+	// Unanswered is the longest period without a response to the polls for one accepted job, after the end of
+	// the last trouble.
 	Unanswered time.Duration `json:"unanswered"`
 	// Cancelled summarizes how fast the tasks of cancelled jobs ended.
 	Cancelled CancelSummary `json:"cancelled"`
@@ -44,8 +44,8 @@
 	StateRequests float64 `json:"stateRequests"`
 	StateChanges  float64 `json:"stateChanges"`
 	Starts        int     `json:"starts"`
-	// Uneven is the ratio of the most starts by one owner to the mean over all owners. Owners are told apart by the
-	// term in the attempt's number, so that a controller counts separately in each of its sessions.
+	// Uneven is the ratio of the most starts by one owner to the mean over all owners. Owners are told apart
+	// by the term in the attempt's number, so that a controller counts separately in each of its sessions.
 	Uneven float64 `json:"uneven"`
 	Events int     `json:"events"`
 	// Took is the run's duration in real time, and MemMB the peak memory of its process.
@@ -62,9 +62,9 @@
 	Begun    int `json:"begun"`
 	Done     int `json:"done"`
 	Refused  int `json:"refused"` // permanently
-	// Wait, Finish and Answer are histograms of milliseconds in HdrHistogram's encoding, all counted from the first
-	// attempt to submit: until all tasks run (for an array: until the first task runs), until the last task is
-	// completed, and until the job is accepted.
+	// Wait, Finish and Answer are histograms of milliseconds in HdrHistogram's encoding, all counted from the
+	// first attempt to submit: until all tasks run (for an array: until the first task runs), until the last
+	// task is completed, and until the job is accepted.
 	Wait   []byte `json:"wait"`
 	Finish []byte `json:"finish"`
 	Answer []byte `json:"answer"`
@@ -106,8 +106,8 @@
 	refused     bool
 }
 
-// NewMeter returns a meter for a deployment with the given limits of teams and the time allowed for the tasks of
-// cancelled jobs to end.
+// NewMeter returns a meter for a deployment with the given limits of teams and the time allowed for the tasks
+// of cancelled jobs to end.
 func NewMeter(limits map[string]protocol.Room, cancelWithin time.Duration) *Meter {
 	return &Meter{served: history.Served{Limits: limits}, cancelWithin: cancelWithin, jobs: map[string]*meteredJob{}, classes: map[string]*ClassSummary{}, histograms: map[string]*classHistograms{}, startsByTerm: map[uint64]int{}}
 }
--- a/internal/lab/mutate.go
+++ b/internal/lab/mutate.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// nearMisses holds the experiments that came closest to a violation so far, the closest first. A hunt mutates them
-// besides generating new experiments: a violation that needs a rare order of events is more likely found near an
-// experiment that almost caused it.
+// nearMisses holds the experiments that came closest to a violation so far, the closest first. A hunt mutates
+// them besides generating new experiments: a violation that needs a rare order of events is more likely found
+// near an experiment that almost caused it.
 type nearMisses struct{ all []nearMiss }
 
-// nearMiss is an experiment with the longest time that the tasks of a cancelled job took to end, as a share of the
-// time allowed.
+// nearMiss is an experiment with the longest time that the tasks of a cancelled job took to end, as a share
+// of the time allowed.
 type nearMiss struct {
 	experiment *Experiment
 	share      float64
@@ -46,21 +46,21 @@
 	return c.all[min(rng.IntN(len(c.all)), rng.IntN(len(c.all)))].experiment
 }
 
-// Mutate returns a variation of an experiment by up to three changes: a fault is moved in time, its duration or count
-// is changed, it is repeated or removed, a random fault is added, or the seed is replaced.
+// Mutate returns a variation of an experiment by up to three changes: a fault is moved in time, its duration
+// or count is changed, it is repeated or removed, a random fault is added, or the seed is replaced.
 func Mutate(e *Experiment, seed uint64) *Experiment {
 	rng := randomSource(seed, "mutation")
 	d := e.deployment()
 	for {
-		c := *e
-		c.Name, c.Seeds = fmt.Sprintf("hunt-%d", seed), slices.Clone(e.Seeds)
-		c.Faults = slices.Clone(e.Faults)
+		mutated := *e
+		mutated.Name, mutated.Seeds = fmt.Sprintf("hunt-%d", seed), slices.Clone(e.Seeds)
+		mutated.Faults = slices.Clone(e.Faults)
 		for range 1 + rng.IntN(3) {
-			c.mutateOnce(rng, &d)
+			mutated.mutateOnce(rng, &d)
 		}
-		slices.SortStableFunc(c.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-		if c.validate() == nil {
-			return &c
+		slices.SortStableFunc(mutated.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+		if mutated.validate() == nil {
+			return &mutated
 		}
 	}
 }
--- a/internal/lab/overrides.go
+++ b/internal/lab/overrides.go
@@ -20,7 +20,8 @@
 type Overrides struct {
 	Zones, ControlZones []string
 	Types               []protocol.MachineType
-	// MaxByType is the number of machines available per type; types without an entry have no limit of their own.
+	// MaxByType is the number of machines available per type; types without an entry have no limit of their
+	// own.
 	MaxByType  map[string]int
 	Teams      []config.Team
 	Objectives []config.Objective
@@ -106,8 +107,8 @@
 	return err
 }
 
-// parseAmounts reads the numeric entries of a named form into the targets in allowed and returns the form's name.
-// Entries that handled consumes are skipped.
+// parseAmounts reads the numeric entries of a named form into the targets in allowed and returns the form's
+// name. Entries that handled consumes are skipped.
 func parseAmounts(raw []byte, kind edn.Symbol, handled func(name string, values []string) bool, allowed map[string][]*float64) (name string, err error) {
 	name, entries, err := forms.Named(raw, kind)
 	if err != nil {
@@ -145,8 +146,8 @@
 	return err
 }
 
-// setType reads (type "x" (cores N) (accels N) (ram GB) (cache GB) (fetch GB/s) (price P SPOT) (boot S) (most N)
-// (zones "a" ...)).
+// setType reads (type "x" (cores N) (accels N) (ram GB) (cache GB) (fetch GB/s) (price P SPOT) (boot S) (most
+// N) (zones "a" ...)).
 func (o *Overrides) setType(raw []byte) (err error) {
 	var t protocol.MachineType
 	most := -1.0
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -129,18 +129,18 @@
 }
 
 func readTimeline(file string) (c timeline, err error) {
-	open := map[string][]int{}
+	unfinished := map[string][]int{}
 	err = history.Read(file, func(e history.Event) error {
 		switch e.Kind {
 		case history.Sampled:
 			c.at, c.samples = append(c.at, e.At), append(c.samples, *e.Sample)
 		case history.FaultBegins:
-			open[e.Cause] = append(open[e.Cause], len(c.faults))
+			unfinished[e.Cause] = append(unfinished[e.Cause], len(c.faults))
 			c.faults = append(c.faults, faultSpan{e.At, -1, e.Cause})
 		case history.FaultEnds:
-			if n := len(open[e.Cause]); n > 0 {
-				c.faults[open[e.Cause][0]].to = e.At
-				open[e.Cause] = open[e.Cause][1:]
+			if n := len(unfinished[e.Cause]); n > 0 {
+				c.faults[unfinished[e.Cause][0]].to = e.At
+				unfinished[e.Cause] = unfinished[e.Cause][1:]
 			}
 		}
 		return nil
@@ -246,7 +246,8 @@
 	return quantileLine("cancelled jobs", merged), nil
 }
 
-// quantileLine returns the curve of the quantiles of a histogram in milliseconds, without points if it is empty.
+// quantileLine returns the curve of the quantiles of a histogram in milliseconds, without points if it is
+// empty.
 func quantileLine(name string, h *hdrhistogram.Histogram) line {
 	l := line{name: name}
 	if h.TotalCount() == 0 {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -100,8 +100,8 @@
 // settleTime is the virtual time that goroutines get at the end of a run to notice the shutdown and return.
 const settleTime = 5 * time.Minute
 
-// ExecuteRun executes the run in a directory: it reads run.json and writes the events and the summary. For virtual
-// time it must be called in a testing/synctest bubble.
+// ExecuteRun executes the run in a directory: it reads run.json and writes the events and the summary. For
+// virtual time it must be called in a testing/synctest bubble.
 func ExecuteRun(ctx context.Context, dir string, progress func(share float64)) error {
 	r, err := readRun(dir)
 	if err != nil {
@@ -190,20 +190,20 @@
 	stopUsers()
 	length := e.Length + e.Rest
 	var violations []history.Violation
-	var unanswered time.Duration
+	var longestUnanswered time.Duration
 	bed.world.Rules(func(r *history.Checker) {
 		r.End(bed.world.Since())
-		violations, unanswered = r.Violations(), r.Unanswered()
+		violations, longestUnanswered = r.Violations(), r.Unanswered()
 		finished = true
 	})
 	summary, err = meter.Summary()
 	violations = append(violations, summary.violationsBelow(e.MinServed)...)
-	summary.Broken, summary.Length, summary.Unanswered = violations, max(summary.Length, length), unanswered
+	summary.Broken, summary.Length, summary.Unanswered = violations, max(summary.Length, length), longestUnanswered
 	return summary, err
 }
 
-// violationsBelow returns a violation for each class, team and group of largest jobs whose served share is below
-// the minimum.
+// violationsBelow returns a violation for each class, team and group of largest jobs whose served share is
+// below the minimum.
 func (s *Summary) violationsBelow(minimum float64) (violations []history.Violation) {
 	for _, check := range []struct {
 		shares map[string]float64
--- a/internal/lab/runner.go
+++ b/internal/lab/runner.go
@@ -17,8 +17,8 @@
 type Runner struct {
 	// Dir is the directory for the result.
 	Dir string
-	// Command is the command line of the child process. The run's directory is appended to it; the process prints
-	// its progress as fractions, one per line.
+	// Command is the command line of the child process. The run's directory is appended to it; the process
+	// prints its progress as fractions, one per line.
 	Command []string
 	// Parallel is the number of concurrent runs; 0 selects it by the number of CPUs.
 	Parallel int
@@ -63,7 +63,7 @@
 		go func() {
 			running <- struct{}{}
 			defer func() { <-running }()
-			sum, err := r.execute(ctx, run, func(share float64) { updates <- update{n: n, share: share} })
+			sum, err := r.executeInChild(ctx, run, func(share float64) { updates <- update{n: n, share: share} })
 			updates <- update{n: n, sum: sum, err: err, finished: true}
 		}()
 	}
@@ -102,8 +102,8 @@
 	return result, writeJSON(filepath.Join(r.Dir, resultFile), result)
 }
 
-// execute executes one run in a child process.
-func (r *Runner) execute(ctx context.Context, run Run, progress func(float64)) (*Summary, error) {
+// executeInChild executes one run in a child process.
+func (r *Runner) executeInChild(ctx context.Context, run Run, progress func(float64)) (*Summary, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -132,8 +132,8 @@
 
 func readRun(dir string) (*Run, error) { return readJSON[Run](filepath.Join(dir, runFile)) }
 
-// ReadResult reads the result in a directory. It rejects an incomplete result, which has no result.json, and one
-// with an invalid experiment or run name.
+// ReadResult reads the result in a directory. It rejects an incomplete result, which has no result.json, and
+// one with an invalid experiment or run name.
 func ReadResult(dir string) (*Result, error) {
 	r, err := readJSON[Result](filepath.Join(dir, resultFile))
 	if errors.Is(err, os.ErrNotExist) {
