--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -16,14 +16,14 @@
 	"daledyke/internal/history"
 )
 
-// Estimate is a mean over seeds with half the width of its 95% confidence interval (of
-// Student's t); the width is NaN for a single seed.
+// Estimate is a mean over N seeds with half the width of its 95% confidence interval by Student's t; the
+// width is NaN for a single seed.
 type Estimate struct {
-	Mean, Half float64
-	N          int
+	Mean, HalfWidth float64
+	N               int
 }
 
-// estimate is the mean of values.
+// estimate returns the mean and the confidence interval of the values that are numbers.
 func estimate(values []float64) Estimate {
 	values = slices.DeleteFunc(slices.Clone(values), math.IsNaN)
 	n := len(values)
@@ -42,27 +42,27 @@
 	switch {
 	case e.N == 0:
 		return "-"
-	case math.IsNaN(e.Half):
+	case math.IsNaN(e.HalfWidth):
 		return fmt.Sprintf("%.3g", e.Mean)
 	}
-	return fmt.Sprintf("%.3g ± %.2g", e.Mean, e.Half)
+	return fmt.Sprintf("%.3g ± %.2g", e.Mean, e.HalfWidth)
 }
 
-// Differs tells whether zero lies outside of the interval.
-func (e Estimate) Differs() bool { return e.N > 1 && math.Abs(e.Mean) > e.Half }
+// Differs reports whether zero lies outside the confidence interval.
+func (e Estimate) Differs() bool { return e.N > 1 && math.Abs(e.Mean) > e.HalfWidth }
 
-// Group are the runs of one version under one setting, which differ by their seeds.
+// Group holds the runs of one version under one combination of settings; they differ by their seeds.
 type Group struct {
 	Name string
 	Runs []Summary
-	// base is the group of the first version under the same setting, nil if it is that.
+	// base is the group of the first version under the same settings, nil for that group itself.
 	base *Group
 }
 
-// groups are the result's runs by version and setting, in their order.
+// groups returns the result's runs grouped by version and settings, in order of first appearance.
 func (r *Result) groups() (all []*Group) {
 	byName := map[string]*Group{}
-	first := map[string]*Group{} // by setting
+	first := map[string]*Group{} // by settings
 	for _, s := range r.Runs {
 		setting := ""
 		for _, name := range slices.Sorted(maps.Keys(s.Settings)) {
@@ -83,14 +83,14 @@
 	return all
 }
 
-// Measure is one thing that runs are compared by.
+// Measure is a quantity by which runs are compared.
 type Measure struct {
 	Name string
-	// Of gives the value of a run, NaN if it has none.
-	Of func(*Summary) float64
+	// Value returns the value of a run, NaN if the run has none.
+	Value func(*Summary) float64
 }
 
-func lowest(shares map[string]float64) float64 {
+func lowestShare(shares map[string]float64) float64 {
 	if len(shares) == 0 {
 		return math.NaN()
 	}
@@ -98,7 +98,7 @@
 	return share
 }
 
-// measures are all that the runs of a result are compared by.
+// measures returns all measures of a result.
 func (r *Result) measures() []Measure {
 	classes := map[string]bool{}
 	for _, s := range r.Runs {
@@ -108,10 +108,10 @@
 	}
 	all := []Measure{
 		{"rules broken", func(s *Summary) float64 { return float64(len(s.Broken)) }},
-		{"served, of the lowest class", func(s *Summary) float64 { return lowest(s.ServedClasses) }},
-		{"served, of the lowest team", func(s *Summary) float64 { return lowest(s.ServedTeams) }},
-		{"served, of the lowest class's largest jobs", func(s *Summary) float64 { return lowest(s.ServedLargest) }},
-		{"largest jobs begun in time, lowest class", func(s *Summary) float64 { return lowest(s.BegunLargest) }},
+		{"served, of the lowest class", func(s *Summary) float64 { return lowestShare(s.ServedClasses) }},
+		{"served, of the lowest team", func(s *Summary) float64 { return lowestShare(s.ServedTeams) }},
+		{"served, of the lowest class's largest jobs", func(s *Summary) float64 { return lowestShare(s.ServedLargest) }},
+		{"largest jobs begun in time, lowest class", func(s *Summary) float64 { return lowestShare(s.BegunLargest) }},
 		{"longest without an answer, s", func(s *Summary) float64 { return s.Unanswered.Seconds() }},
 		{"cancelled jobs' tasks gone, worst share of the time allowed", func(s *Summary) float64 { return s.Cancelled.WorstShare }},
 		{"starts after a cancellation was told", func(s *Summary) float64 { return float64(s.Cancelled.StartedAfter) }},
@@ -129,7 +129,7 @@
 		{"memory, MB", func(s *Summary) float64 { return s.MemMB }},
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		of := func(f func(*ClassSummary) float64) func(*Summary) float64 {
+		ofClass := func(f func(*ClassSummary) float64) func(*Summary) float64 {
 			return func(s *Summary) float64 {
 				if c := s.Classes[class]; c != nil {
 					return f(c)
@@ -138,7 +138,7 @@
 			}
 		}
 		quantile := func(pick func(*ClassSummary) []byte, q float64) func(*Summary) float64 {
-			return of(func(c *ClassSummary) float64 {
+			return ofClass(func(c *ClassSummary) float64 {
 				h, err := hdrhistogram.Decode(pick(c))
 				if err != nil || h.TotalCount() == 0 {
 					return math.NaN()
@@ -149,8 +149,8 @@
 		wait := func(c *ClassSummary) []byte { return c.Wait }
 		finish := func(c *ClassSummary) []byte { return c.Finish }
 		all = append(all,
-			Measure{class + ": begun", of(func(c *ClassSummary) float64 { return float64(c.Begun) / float64(c.Jobs) })},
-			Measure{class + ": done", of(func(c *ClassSummary) float64 { return float64(c.Done) / float64(c.Jobs) })},
+			Measure{class + ": begun", ofClass(func(c *ClassSummary) float64 { return float64(c.Begun) / float64(c.Jobs) })},
+			Measure{class + ": done", ofClass(func(c *ClassSummary) float64 { return float64(c.Done) / float64(c.Jobs) })},
 			Measure{class + ": wait, half, s", quantile(wait, 50)},
 			Measure{class + ": wait, 90%, s", quantile(wait, 90)},
 			Measure{class + ": done after, 90%, s", quantile(finish, 90)},
@@ -159,28 +159,29 @@
 	return all
 }
 
-// of is a measure over a group's seeds, and its difference from the base's, seed by seed.
-func (g *Group) of(m Measure) (value Estimate, difference *Estimate) {
+// estimate returns the estimate of a measure over the group's seeds, and of its paired difference from the base
+// group, seed by seed.
+func (g *Group) estimate(m Measure) (value Estimate, difference *Estimate) {
 	values := func(runs []Summary) (v []float64) {
 		for i := range runs {
-			v = append(v, m.Of(&runs[i]))
+			v = append(v, m.Value(&runs[i]))
 		}
 		return v
 	}
-	mine := values(g.Runs)
-	value = estimate(mine)
+	groupValues := values(g.Runs)
+	value = estimate(groupValues)
 	if g.base == nil || len(g.base.Runs) != len(g.Runs) {
 		return value, nil
 	}
-	theirs := values(g.base.Runs)
-	for i := range mine {
-		mine[i] -= theirs[i]
+	baseValues := values(g.base.Runs)
+	for i := range groupValues {
+		groupValues[i] -= baseValues[i]
 	}
-	d := estimate(mine)
+	d := estimate(groupValues)
 	return value, &d
 }
 
-// Broken is how many rules were broken in all runs.
+// Broken returns the number of violations of rules in all runs.
 func (r *Result) Broken() (n int) {
 	for _, s := range r.Runs {
 		n += len(s.Broken)
@@ -188,7 +189,7 @@
 	return n
 }
 
-// Table writes the measures of all groups.
+// Table writes a table of all measures by group, and the first violations of each run.
 func (r *Result) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	groups := r.groups()
@@ -199,7 +200,7 @@
 	for _, m := range r.measures() {
 		fmt.Fprint(t, m.Name)
 		for _, g := range groups {
-			value, _ := g.of(m)
+			value, _ := g.estimate(m)
 			fmt.Fprintf(t, "\t%v", value)
 		}
 		fmt.Fprintln(t)
--- a/internal/lab/door.go
+++ b/internal/lab/gateway.go
@@ -21,48 +21,48 @@
 	"daledyke/internal/protocol"
 )
 
-// door is the front door of a deployment on this machine. It passes requests on to the
-// nodes through the load balancer, and keeps the descriptions of jobs, which users upload
-// for the workers. What it keeps survives a restart.
-type door struct {
+// gateway is the HTTP entry point of a deployment on this machine. It forwards requests to the controllers
+// through the load balancer and stores the specifications of submitted jobs, which the emulated workers need.
+// The store survives a restart.
+type gateway struct {
 	world   *emulator.World
 	queues  pbs.Queues
 	uploads chan upload
 	proxy   *httputil.ReverseProxy
 }
 
-// upload is a job's description, on its way to the file; kept tells how that ended.
+// upload is a request to store a job's specification; result receives the outcome.
 type upload struct {
-	spec *protocol.JobSpec
-	kept chan error
+	spec   *protocol.JobSpec
+	result chan error
 }
 
 const uploadsFile = "uploads.jsonl"
 
-// newDoor opens a door whose uploads are kept in a directory, until ctx ends.
-func newDoor(ctx context.Context, w *emulator.World, b *emulator.Balancer, dir string, queues pbs.Queues) (*door, error) {
+// newGateway returns a gateway that stores uploads in a directory until ctx ends.
+func newGateway(ctx context.Context, w *emulator.World, b *emulator.Balancer, dir string, queues pbs.Queues) (*gateway, error) {
 	name := filepath.Join(dir, uploadsFile)
-	specs, whole, err := readUploads(name)
+	specs, completeBytes, err := readUploads(name)
 	if err != nil {
 		return nil, err
 	}
-	known := map[string]bool{}
+	recorded := map[string]bool{}
 	for _, s := range specs {
-		w.Upload(s, estimated(s), false)
-		known[s.ID] = true
+		w.Upload(s, estimatedRunTime(s), false)
+		recorded[s.ID] = true
 	}
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY, 0o600)
 	if err == nil {
-		err = f.Truncate(whole) // a line that a kill cut short was answered to nobody
+		err = f.Truncate(completeBytes) // an incomplete last line was never acknowledged
 	}
 	if err == nil {
-		_, err = f.Seek(whole, io.SeekStart)
+		_, err = f.Seek(completeBytes, io.SeekStart)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("uploads: %w", err)
 	}
-	d := &door{world: w, queues: queues, uploads: make(chan upload)}
-	d.proxy = &httputil.ReverseProxy{
+	g := &gateway{world: w, queues: queues, uploads: make(chan upload)}
+	g.proxy = &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.Out.URL.Scheme, r.Out.URL.Host = "http", "daledyke"
 		},
@@ -77,22 +77,22 @@
 		defer f.Close()
 		for {
 			select {
-			case u := <-d.uploads:
+			case u := <-g.uploads:
 				var err error
-				if !known[u.spec.ID] { // users send a job again until it is answered
-					err = keepUpload(f, u.spec)
-					known[u.spec.ID] = err == nil
+				if !recorded[u.spec.ID] { // users resend a job until they get a response
+					err = appendUpload(f, u.spec)
+					recorded[u.spec.ID] = err == nil
 				}
-				u.kept <- err
+				u.result <- err
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return d, nil
+	return g, nil
 }
 
-func keepUpload(f *os.File, s *protocol.JobSpec) error {
+func appendUpload(f *os.File, s *protocol.JobSpec) error {
 	raw, err := json.Marshal(s)
 	if err == nil {
 		_, err = f.Write(append(raw, '\n'))
@@ -100,9 +100,8 @@
 	return errors.Join(err, f.Sync())
 }
 
-// readUploads reads the descriptions that were kept, and how many bytes of the file are
-// whole lines.
-func readUploads(name string) (specs []*protocol.JobSpec, whole int64, err error) {
+// readUploads reads the stored specifications and returns the number of bytes that form complete lines.
+func readUploads(name string) (specs []*protocol.JobSpec, completeBytes int64, err error) {
 	f, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, nil
@@ -115,7 +114,7 @@
 	for n := 1; ; n++ {
 		line, err := lines.ReadBytes('\n')
 		if err == io.EOF {
-			return specs, whole, nil
+			return specs, completeBytes, nil
 		}
 		s := &protocol.JobSpec{}
 		if err == nil {
@@ -125,13 +124,12 @@
 			return nil, 0, fmt.Errorf("%s: line %d: %w", name, n, err)
 		}
 		specs = append(specs, s)
-		whole += int64(len(line))
+		completeBytes += int64(len(line))
 	}
 }
 
-// estimated has a job's tasks run as long as its owner says; services run until they are
-// stopped.
-func estimated(s *protocol.JobSpec) func(int) time.Duration {
+// estimatedRunTime makes a job's tasks run as long as its owner estimates; services run until they are stopped.
+func estimatedRunTime(s *protocol.JobSpec) func(int) time.Duration {
 	run := max(s.Estimate(), time.Second)
 	if s.Shape == protocol.Service {
 		run = 0
@@ -139,7 +137,7 @@
 	return func(int) time.Duration { return run }
 }
 
-func (d *door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost && (r.URL.Path == "/v1/jobs" || r.URL.Path == "/pbs/jobs") {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 		if err != nil {
@@ -147,28 +145,27 @@
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if s := d.describe(r, body); s != nil {
+		if s := g.parseSubmission(r, body); s != nil {
 			u := upload{s, make(chan error, 1)}
 			select {
-			case d.uploads <- u:
-				err = <-u.kept
+			case g.uploads <- u:
+				err = <-u.result
 			case <-r.Context().Done():
 				return
 			}
 			if err != nil {
-				slog.Error("a description is not kept", "job", s.ID, "err", err)
+				slog.Error("cannot store the job specification", "job", s.ID, "err", err)
 				http.Error(w, `{"error":"the description is not kept"}`, http.StatusServiceUnavailable)
 				return
 			}
-			d.world.Upload(s, estimated(s), false)
+			g.world.Upload(s, estimatedRunTime(s), false)
 		}
 	}
-	d.proxy.ServeHTTP(w, r)
+	g.proxy.ServeHTTP(w, r)
 }
 
-// describe is the job that a submission is for, nil if it is senseless: the controllers
-// say so.
-func (d *door) describe(r *http.Request, body []byte) *protocol.JobSpec {
+// parseSubmission returns the job of a submission, nil if it is invalid; the controllers reject it then.
+func (g *gateway) parseSubmission(r *http.Request, body []byte) *protocol.JobSpec {
 	if r.URL.Path == "/v1/jobs" {
 		s, err := protocol.ParseJob(body)
 		if err != nil {
@@ -180,7 +177,7 @@
 	if err != nil {
 		return nil
 	}
-	j, err := pbs.Translate(string(body), command, d.queues, pbs.IDOf(r.Header.Get("Idempotency-Key")), time.Now().UTC())
+	j, err := pbs.Translate(string(body), command, g.queues, pbs.IDOf(r.Header.Get("Idempotency-Key")), time.Now().UTC())
 	if err != nil {
 		return nil
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,13 +19,13 @@
 	"daledyke/internal/history"
 )
 
-// TestMain keeps the logs out of the tests' output, and plays runs for them: as the
-// program does, in a process of its own.
+// TestMain discards log output. In a child process that a test starts for a run, it executes the run instead,
+// as the program does.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	if dir := os.Getenv(playDir); dir != "" {
-		if os.Getenv(playDir+"_FAILS") != "" {
-			fmt.Fprintln(os.Stderr, "panic: as it was told")
+	if dir := os.Getenv(runDirVariable); dir != "" {
+		if os.Getenv(runDirVariable+"_FAILS") != "" {
+			fmt.Fprintln(os.Stderr, "panic: failure requested by the test")
 			os.Exit(2)
 		}
 		virtual, err := Virtual(dir)
@@ -33,18 +33,19 @@
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
-		PlayHere(dir, virtual)
+		ExecuteInProcess(dir, virtual)
 	}
 	os.Exit(m.Run())
 }
 
-// playDir, set for a process of this test, is the run that it plays.
-const playDir = "DALEDYKE_TEST_PLAY"
+// runDirVariable is the environment variable with the directory of the run that a child process executes.
+const runDirVariable = "DALEDYKE_TEST_PLAY"
 
-// here is a command line that has a process of this test play the run named last.
-var here = []string{"/bin/sh", "-c", playDir + `="$1" exec "$0"`, os.Args[0]}
+// commandOfThisTest is a command line that executes a run in a child process of this test; the run's
+// directory is appended.
+var commandOfThisTest = []string{"/bin/sh", "-c", runDirVariable + `="$1" exec "$0"`, os.Args[0]}
 
-const small = `(experiment "small"
+const smallExperiment = `(experiment "small"
   (controllers 3) (machines 12) (length "2m") (rest "2m") (seeds 1 2)
   (class "proof" (shape service) (priority critical) (arrivals (start 2)) (tasks 2) (image "proof" 2) (scatter true))
   (class "render" (team "archive") (arrivals (poisson "8s")) (tasks (uniform 1 4)) (run (lognormal 20 0.5)) (error 0.3) (spot true) (cancelled 0.1) (chained 0.2))
@@ -55,20 +56,20 @@
   (at "1m5s" (machines hang 2 "15s"))
   (at "80s" (spot-wave 0.5)))`
 
-const ownDeployment = `(experiment "own" (zones "u" "v") (lease "30s") (report "3s") (state 100 50 4 9) (cloud 5 "2s") (node 0.5 200 900)
+const overridesExperiment = `(experiment "own" (zones "u" "v") (lease "30s") (report "3s") (state 100 50 4 9) (cloud 5 "2s") (node 0.5 200 900)
   (type "little" (cores 8) (ram 32) (fetch 1) (price 1 0.3) (boot 20)) (type "big" (cores 64) (ram 256) (fetch 0.5) (price 7 2) (boot 40) (most 3) (zones "v"))
   (team "us" (cpus 10 64)) (aim wait "render" "20s" 0.9)
   (class "render" (team "us") (arrivals (start 3) (poisson "9s")) (tasks (choice 1 3 4 1)) (images 5) (types "big" "little")))`
 
-// An experiment with faults inside each other is played, kept, and made a page of; its
-// events are whole and keep the rules when they are checked again.
-func TestAnExperimentIsPlayed(t *testing.T) {
-	e, err := Parse([]byte(small))
+// An experiment with overlapping faults runs, is stored, and yields a report. Its stored events are complete,
+// violate no rule when they are checked again, and give the same summary.
+func TestExperimentRunsEndToEnd(t *testing.T) {
+	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "result")
-	r := &Runner{Dir: dir, Play: here}
+	r := &Runner{Dir: dir, Command: commandOfThisTest}
 	last := 0.0
 	r.Progress = func(share float64) { last = share }
 	res, err := r.Run(t.Context(), e)
@@ -76,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if last != 1 || len(res.Runs) != 2 {
-		t.Errorf("%d runs, %v of them done", len(res.Runs), last)
+		t.Errorf("%d runs, progress %v", len(res.Runs), last)
 	}
 	for _, s := range res.Runs {
 		if len(s.Broken) > 0 || s.Classes["learn"].Done != 2 || s.Classes["proof"].Begun != 2 || s.Classes["render"].Accepted != s.Classes["render"].Jobs || s.Money <= 0 {
@@ -93,7 +94,7 @@
 		})
 		again, merr := m.Summary()
 		if err = errors.Join(err, merr); err != nil || len(c.Violations()) > 0 || again.Starts != s.Starts || again.Used != s.Used || !reflect.DeepEqual(again.Cancelled, s.Cancelled) {
-			t.Errorf("read again: %v, %v; %d starts of %d", err, c.Violations(), again.Starts, s.Starts)
+			t.Errorf("after reading the events again: error %v, violations %v; %d starts, want %d", err, c.Violations(), again.Starts, s.Starts)
 		}
 		if kinds[history.FaultBegins] != 5 || kinds[history.FaultEnds] != 5 || kinds[history.NodeUp] != 4 || kinds[history.Sampled] < 40 {
 			t.Errorf("events by kind: %v", kinds)
@@ -106,17 +107,17 @@
 	charts := 6
 	for _, s := range res.Runs {
 		if len(s.Cancelled.Worst) > 0 {
-			charts = 7 // one more, of when the tasks of cancelled jobs were gone
+			charts = 7 // one more, for the times until the tasks of cancelled jobs ended
 		}
 	}
 	raw, err := os.ReadFile(page)
 	if err != nil || strings.Count(string(raw), "<svg") != charts || !strings.Contains(string(raw), "learn: wait, 90%, s") {
-		t.Errorf("a page of %d bytes, %v", len(raw), err)
+		t.Errorf("a report of %d bytes, %v, lacks charts or measures", len(raw), err)
 	}
 	if _, err := r.Run(t.Context(), e); !errors.Is(err, ErrNotEmpty) {
-		t.Errorf("into the same directory: %v", err)
+		t.Errorf("a second run into the same directory: %v", err)
 	}
-	// What was cut short is no result.
+	// Truncated events and a missing index are reported.
 	events := filepath.Join(dir, "runs", res.Runs[0].Run, eventsFile)
 	whole, err := os.ReadFile(events)
 	if err == nil {
@@ -126,20 +127,20 @@
 		t.Fatal(err)
 	}
 	if err := Report(dir, page); err == nil || !strings.Contains(err.Error(), eventsFile) {
-		t.Errorf("of events cut short: %v", err)
+		t.Errorf("a report of truncated events: %v", err)
 	}
 	if err := os.Remove(filepath.Join(dir, resultFile)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadResult(dir); err == nil || !strings.Contains(err.Error(), "no whole result") {
-		t.Errorf("without its index: %v", err)
+		t.Errorf("a result without result.json: %v", err)
 	}
 }
 
-// The state service vanishes while a crowd of jobs is taken and placed, and returns; half
-// of the controllers are killed meanwhile, and machines come late and unexpected. Every job
-// gets one final answer, and is done once.
-func TestStateServiceVanishesDuringPlacement(t *testing.T) {
+// The state service becomes unavailable while a burst of jobs is accepted and placed, and recovers. Meanwhile
+// half of the controllers are killed, and machines boot late and after their rentals were given up. Every job
+// gets one final response and completes once.
+func TestStateServiceOutageDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "vanishes" (controllers 4) (machines 30) (length "90s") (rest "4m")
 			(class "render" (arrivals (burst "20s" 60)) (tasks (uniform 1 3)) (run (uniform 5 20)) (cores 2))
@@ -150,7 +151,7 @@
 			t.Fatal(err)
 		}
 		final := map[string]map[int]bool{}
-		sum, err := play(context.Background(), e, "", 5, t.TempDir(), func(ev history.Event) {
+		sum, err := execute(context.Background(), e, "", 5, t.TempDir(), func(ev history.Event) {
 			if ev.Kind == history.Answered && (ev.Code < 300 && ev.Code > 0 || ev.Code == 400 || ev.Code == 422) {
 				if final[ev.Job] == nil {
 					final[ev.Job] = map[int]bool{}
@@ -163,7 +164,7 @@
 		}
 		for job, codes := range final {
 			if len(codes) != 1 {
-				t.Errorf("%s is answered %v", job, codes)
+				t.Errorf("%s: final responses of different kinds: %v", job, codes)
 			}
 		}
 		for name, c := range sum.Classes {
@@ -172,45 +173,45 @@
 			}
 		}
 		if len(final) != 64 {
-			t.Errorf("%d jobs have a final answer", len(final))
+			t.Errorf("%d jobs have a final response, want 64", len(final))
 		}
 	})
 }
 
-// A run whose process fails leaves no result, and its last words are told.
-func TestARunThatFails(t *testing.T) {
-	e, err := Parse([]byte(small))
+// A run whose process fails leaves no result, and the error contains the end of its log.
+func TestFailedRunLeavesNoResult(t *testing.T) {
+	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "result")
-	t.Setenv(playDir+"_FAILS", "yes")
-	_, err = (&Runner{Dir: dir, Play: here}).Run(t.Context(), e)
-	if err == nil || !strings.Contains(err.Error(), "as it was told") {
+	t.Setenv(runDirVariable+"_FAILS", "yes")
+	_, err = (&Runner{Dir: dir, Command: commandOfThisTest}).Run(t.Context(), e)
+	if err == nil || !strings.Contains(err.Error(), "failure requested by the test") {
 		t.Errorf("%v", err)
 	}
 	if _, err := ReadResult(dir); err == nil {
-		t.Error("there is a result")
+		t.Error("a failed run left a result")
 	}
 }
 
-// The same seed gives the same jobs, whatever other classes there are.
-func TestOrdersRepeat(t *testing.T) {
-	e, err := Parse([]byte(small))
+// The same seed gives the same jobs in a class, whatever the other classes are.
+func TestPlannedJobsAreReproducible(t *testing.T) {
+	e, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := func(e *Experiment, class string) (s string) {
-		for _, o := range e.orders(7) {
+	jobsOfClass := func(e *Experiment, class string) (s string) {
+		for _, o := range e.plannedJobs(7) {
 			if o.spec.Class == class {
-				s += fmt.Sprint(o.at, o.runs, o.spec.Tasks, o.spec.EstimateS, o.cancelAt, ";")
+				s += fmt.Sprint(o.submitAt, o.runTimes, o.spec.Tasks, o.spec.EstimateS, o.cancelAfter, ";")
 			}
 		}
 		return s
 	}
-	first := of(e, "render")
+	first := jobsOfClass(e, "render")
 	e.Classes = e.Classes[1:]
-	if again := of(e, "render"); again != first || first == "" {
+	if again := jobsOfClass(e, "render"); again != first || first == "" {
 		t.Error("the jobs of a class depend on other classes")
 	}
 	counts := map[string]int{}
@@ -219,10 +220,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		times := a.times(time.Hour, 1, source(1, "x"))
+		times := a.submissionTimes(time.Hour, 1, randomSource(1, "x"))
 		counts[a.Kind] = len(times)
 		if n := len(times); n < 3400 || n > 3800 {
-			t.Errorf("%s: %d in an hour", c, n)
+			t.Errorf("%s: %d jobs in an hour", c, n)
 		}
 		early := 0
 		for _, at := range times {
@@ -231,13 +232,12 @@
 			}
 		}
 		if share := float64(early) / float64(len(times)); a.Kind == "swing" && (share < 0.72 || share > 0.85) { // 1/2 + 0.9/pi
-			t.Errorf("%v of a swing's jobs come in its first half", share)
+			t.Errorf("share %v of the jobs of a swing in the first half of its period", share)
 		}
 	}
 }
 
-// Experiments are written as they are read, and what is wrong with one is told with its
-// line.
+// Formatting and parsing of experiments are inverse, the shipped experiments load, and errors name their line.
 func TestExperimentFiles(t *testing.T) {
 	for seed := range uint64(40) {
 		e := Random(seed, 5*time.Minute)
@@ -246,21 +246,21 @@
 			t.Fatalf("seed %d: %v\n%s\n%v", seed, err, e, again)
 		}
 	}
-	again, err := Parse([]byte(ownDeployment))
+	again, err := Parse([]byte(overridesExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if second, err := Parse([]byte(again.String())); err != nil || second.String() != again.String() {
 		t.Errorf("%v\n%s\n%v", err, again, second)
 	}
-	if d := again.deployment(); d.Lease != 30*time.Second || len(d.Types) != 2 || d.Types[0].Zones[1] != "v" || d.Most["big"] != 3 || d.State.TxnOps != 9 || d.Teams[0].CoresMax != 64 {
+	if d := again.deployment(); d.Lease != 30*time.Second || len(d.Types) != 2 || d.Types[0].Zones[1] != "v" || d.MaxByType["big"] != 3 || d.State.TxnOps != 9 || d.Teams[0].CoresMax != 64 {
 		t.Errorf("%+v", d)
 	}
-	ready, err := filepath.Glob("../../deploy/lab/*.edn")
-	if err != nil || len(ready) < 3 {
-		t.Errorf("ready experiments: %v, %v", ready, err)
+	shipped, err := filepath.Glob("../../deploy/lab/*.edn")
+	if err != nil || len(shipped) < 3 {
+		t.Errorf("shipped experiments: %v, %v", shipped, err)
 	}
-	for _, file := range ready {
+	for _, file := range shipped {
 		if _, err := Load(file); err != nil {
 			t.Error(err)
 		}
@@ -300,9 +300,9 @@
 	}
 }
 
-// FuzzParse: whatever is read is written as it is read.
+// FuzzParse checks that every experiment that parses is formatted to one that parses to the same.
 func FuzzParse(f *testing.F) {
-	f.Add(small)
+	f.Add(smallExperiment)
 	f.Add(Random(3, time.Minute).String())
 	f.Fuzz(func(t *testing.T, text string) {
 		e, err := Parse([]byte(text))
@@ -316,23 +316,23 @@
 	})
 }
 
-// What breaks is made smaller as far as it goes: of an experiment with much in it that
-// breaks for one fault and one class, only these are left.
+// An experiment is shrunk as far as possible: if one fault and one class cause the violation, only these
+// remain. The number of tries is bounded.
 func TestShrink(t *testing.T) {
 	e := Random(11, 8*time.Minute)
-	e.Faults = append(e.Faults, Fault{At: 100 * time.Second, Verb: "cloud-outage", Args: []string{"7s"}})
+	e.Faults = append(e.Faults, Fault{At: 100 * time.Second, Kind: "cloud-outage", Args: []string{"7s"}})
 	asked := 0
 	got, err := Shrink(e, 200, func(c *Experiment) (bool, error) {
 		asked++
-		there := false
+		hasFault := false
 		for _, f := range c.Faults {
-			there = there || f.Verb == "cloud-outage" && f.Args[0] == "7s"
+			hasFault = hasFault || f.Kind == "cloud-outage" && f.Args[0] == "7s"
 		}
-		learns := false
+		hasClass := false
 		for _, k := range c.Classes {
-			learns = learns || k.Name == "learn"
+			hasClass = hasClass || k.Name == "learn"
 		}
-		return there && learns, c.check()
+		return hasFault && hasClass, c.validate()
 	})
 	if err != nil || len(got.Faults) != 1 || len(got.Classes) != 1 || got.Classes[0].Name != "learn" || got.Length > 4*time.Minute || got.Machines > 3 || got.Scale > 0.1 || asked > 200 {
 		t.Errorf("%v after %d tries: %v", err, asked, got)
@@ -343,8 +343,8 @@
 	}
 }
 
-// A hunt sees a rule that breaks, and saves the smallest experiment that does, which
-// breaks it again: here runs are told broken wherever the state service is away.
+// A hunt detects a violation and saves the smallest experiment that causes it. Here a script reports a
+// violation for every run with an outage of the state service.
 func TestHunt(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "hunt")
 	fake := filepath.Join(t.TempDir(), "fake.sh")
@@ -353,23 +353,23 @@
 	if err := os.WriteFile(fake, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	var said []string
-	found, err := Hunt(t.Context(), &Runner{Dir: dir, Play: []string{"/bin/sh", fake}}, HuntOptions{Seed: 1, Runs: 10, Length: 4 * time.Minute,
-		Say: func(format string, args ...any) { said = append(said, fmt.Sprintf(format, args...)) }})
+	var lines []string
+	found, err := Hunt(t.Context(), &Runner{Dir: dir, Command: []string{"/bin/sh", fake}}, HuntOptions{Seed: 1, Runs: 10, Length: 4 * time.Minute,
+		Printf: func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }})
 	if err != nil || len(found) == 0 || len(found) == 10 {
-		t.Fatalf("%d found, %v: %v", len(found), err, said)
+		t.Fatalf("%d findings, %v: %v", len(found), err, lines)
 	}
 	for _, f := range found {
 		e, err := Load(f.File)
-		if err != nil || len(e.Faults) != 1 || e.Faults[0].Verb != "state-outage" || len(e.Classes) != 1 {
+		if err != nil || len(e.Faults) != 1 || e.Faults[0].Kind != "state-outage" || len(e.Classes) != 1 {
 			t.Errorf("%s: %v %v", f.File, err, e)
 		}
 	}
 }
 
-// A hunt varies the experiments in which cancelled work remained longest: here runs with more faults
-// are told to come closer to the bound, and every other experiment has those of one that came close.
-func TestHuntVariesWhatCameClose(t *testing.T) {
+// A hunt mutates the experiments in which cancelled tasks remained longest. Here a script reports runs with
+// more faults as closer to the bound; every other experiment must share most faults with an earlier one.
+func TestHuntMutatesNearMisses(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "hunt")
 	fake := filepath.Join(t.TempDir(), "fake.sh")
 	script := `N=$(grep -o '(at ' "$1/run.json" | wc -l)
@@ -378,8 +378,8 @@
 		t.Fatal(err)
 	}
 	faults := map[int][]string{}
-	_, err := Hunt(t.Context(), &Runner{Dir: dir, Play: []string{"/bin/sh", fake}}, HuntOptions{Seed: 4, Runs: 12, Length: 4 * time.Minute,
-		Say: func(format string, args ...any) {
+	_, err := Hunt(t.Context(), &Runner{Dir: dir, Command: []string{"/bin/sh", fake}}, HuntOptions{Seed: 4, Runs: 12, Length: 4 * time.Minute,
+		Printf: func(format string, args ...any) {
 			if len(args) == 5 {
 				faults[len(faults)] = strings.Split(args[4].(string), ", ")
 			}
@@ -404,24 +404,25 @@
 	}
 }
 
-// Mutated experiments can be played, are written as they are read, and differ from what they come from.
-func TestMutatedExperimentsAreSound(t *testing.T) {
+// Mutated experiments are valid, survive formatting and parsing, differ from the original and leave it
+// unchanged.
+func TestMutatedExperimentsAreValid(t *testing.T) {
 	for seed := range uint64(60) {
 		e := Random(seed%7, 5*time.Minute)
 		was := e.String()
-		m := Mutated(e, 1000+seed)
+		m := Mutate(e, 1000+seed)
 		again, err := Parse([]byte(m.String()))
 		if err != nil || again.String() != m.String() || m.String() == was {
 			t.Fatalf("seed %d: %v\n%s", seed, err, m)
 		}
 		if e.String() != was {
-			t.Fatalf("seed %d: what was mutated has changed", seed)
+			t.Fatalf("seed %d: the original experiment has changed", seed)
 		}
 	}
 }
 
-// Users who cancel at once are told so, and what ran for them on machines that hang meanwhile is
-// measured: it lasts for about a lease where the machines can't be returned meanwhile.
+// Simultaneous cancellations are confirmed, and the remaining time of their tasks on machines that hang
+// meanwhile is measured: up to a lease, as the machines cannot be returned during an outage of the cloud.
 func TestCancelNowIsMeasured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "called-off" (controllers 3) (machines 12) (length "2m") (rest "1m")
@@ -430,7 +431,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := play(context.Background(), e, "", 1, t.TempDir(), func(history.Event) {}, func(float64) {})
+		s, err := execute(context.Background(), e, "", 1, t.TempDir(), func(history.Event) {}, func(float64) {})
 		if err != nil || len(s.Broken) > 0 {
 			t.Fatal(err, s.Broken)
 		}
@@ -442,9 +443,9 @@
 	})
 }
 
-// Intervals are those of Student's t, and a version is compared seed by seed.
+// Confidence intervals follow Student's t, and versions are compared seed by seed.
 func TestComparison(t *testing.T) {
-	if e := estimate([]float64{4, 6, 8, math.NaN()}); e.Mean != 6 || math.Abs(e.Half-4.968) > 0.01 || e.N != 3 {
+	if e := estimate([]float64{4, 6, 8, math.NaN()}); e.Mean != 6 || math.Abs(e.HalfWidth-4.968) > 0.01 || e.N != 3 {
 		t.Errorf("%+v", e)
 	}
 	res := &Result{}
@@ -467,15 +468,15 @@
 		if m.Name != "money" {
 			continue
 		}
-		value, difference := groups[1].of(m)
+		value, difference := groups[1].estimate(m)
 		if value.Differs() || difference == nil || !difference.Differs() || math.Abs(difference.Mean-5.15) > 1e-9 {
-			t.Errorf("%v, %v: the seeds differ more than the versions", value, difference)
+			t.Errorf("%v, %v: the versions must differ only in the comparison by seed", value, difference)
 		}
 	}
 }
 
-// Faults of one kind that overlap end when the last of them does.
-func TestFaultsOverlap(t *testing.T) {
+// Overlapping faults of one kind end with the last of them.
+func TestOverlappingFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, err := Parse([]byte(`(experiment "overlap" (controllers 1) (machines 2) (length "40s") (rest "20s")
 			(class "render" (arrivals (burst "12s" 1)))
@@ -484,14 +485,14 @@
 			t.Fatal(err)
 		}
 		var nodes []string
-		ended := time.Duration(0)
-		_, err = play(context.Background(), e, "", 1, t.TempDir(), func(ev history.Event) {
+		firstRental := time.Duration(0)
+		_, err = execute(context.Background(), e, "", 1, t.TempDir(), func(ev history.Event) {
 			switch ev.Kind {
 			case history.NodeUp, history.NodeDown:
 				nodes = append(nodes, fmt.Sprint(ev.At.Round(time.Second), ev.Kind))
 			case history.Rented:
-				if ended == 0 {
-					ended = ev.At
+				if firstRental == 0 {
+					firstRental = ev.At
 				}
 			}
 		}, func(float64) {})
@@ -501,9 +502,9 @@
 		if got := strings.Join(nodes, " "); got != "0snode-up 20snode-down 32snode-up" {
 			t.Errorf("controllers: %s", got)
 		}
-		raw, _ := json.Marshal(ended)
-		if ended < 25*time.Second {
-			t.Errorf("rented at %s, in an outage of the cloud", raw)
+		raw, _ := json.Marshal(firstRental)
+		if firstRental < 25*time.Second {
+			t.Errorf("rented at %s, during an outage of the cloud", raw)
 		}
 	})
 }
