--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -36,20 +36,20 @@
 
 // fleet sums up the fleet for the leader.
 func (o *Owner) fleet(ctx context.Context, now, started time.Time) *fleetState {
-	st := &fleetState{drained: map[string]uint64{}, holder: map[string]string{}, reg: map[string]*bookkeeping.Machine{}, seen: map[string]bool{}, up: map[string]bool{}}
+	st := &fleetState{drained: map[string]uint64{}, holder: map[string]string{}, registered: map[string]*bookkeeping.Machine{}, seen: map[string]bool{}, mayHaveTasks: map[string]bool{}}
 	ok := o.ask(ctx, func() {
 		// Without every slot's news it is not known what is missing.
 		st.ready = o.window() != nil && o.board.AllComplete(o.slots, 0)
-		st.in.Types = o.types
-		st.in.Scarce = o.scarce()
+		st.input.Types = o.types
+		st.input.Scarce = o.scarce()
 		o.addRegistered(st)
 		o.addAwaited(st)
 		for id, m := range o.board.Machines {
 			if o.addSeen(st, id, m) {
-				st.in.Machines = append(st.in.Machines, o.fleetMachine(id, m, now))
+				st.input.Machines = append(st.input.Machines, o.fleetMachine(id, m, now))
 			}
 		}
-		st.in.Demands = o.demands(now, started)
+		st.input.Demands = o.demands(now, started)
 		st.load = o.load(now)
 	})
 	if !ok {
@@ -62,9 +62,9 @@
 // may be.
 func (o *Owner) addRegistered(st *fleetState) {
 	for id, m := range o.machReg {
-		st.reg[id] = m
+		st.registered[id] = m
 		if o.board.Machines[id] == nil && o.rosters[ring.SlotOf(id, o.slots)][m.Number()] {
-			st.up[id] = true
+			st.mayHaveTasks[id] = true
 		}
 	}
 }
@@ -88,8 +88,8 @@
 	if st.holder[id] == "" {
 		st.holder[id] = m.Holder
 	}
-	if st.reg[id] == nil {
-		st.reg[id] = &bookkeeping.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+	if st.registered[id] == nil {
+		st.registered[id] = &bookkeeping.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	}
 	if m.Drained > 0 {
 		st.drained[id] = m.Drained
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -16,8 +16,8 @@
 	"daledyke/internal/transport"
 )
 
-// Leader stands for leadership and, while it leads, publishes windows and
-// deals and rents machines.
+// Leader campaigns for leadership. While it leads, it publishes windows, which assign the slots to holders,
+// and it rents, drains and returns machines.
 type Leader struct {
 	actor
 	cfg     *config.Config
@@ -32,67 +32,69 @@
 	window  *bookkeeping.Window
 	writing bool
 
-	// the fleet, while leading
-	busy     bool
-	bookings uint64
-	refusals map[fleet.Kind]time.Time
-	listed   map[string]protocol.Machine
-	listedAt time.Time
-	priced   time.Time
-	catalog  *protocol.Catalog
-	catBusy  bool
-	started  time.Time
-	leadFrom time.Time
-	draining map[string]drainWish
-	drained  map[string]bool // holders that keep machines free for us
-	rounds   uint64
-	coming   map[string]bool            // machines that had not come up a round ago
-	boots    map[string][]time.Duration // of each type's machines that came up lately, newest last
-	batches  map[string]*bookkeeping.RentalBatch
-	moves    *rate.Limiter // of replicas that are moved
-	// load is that of the slots as the board showed it at loadAt; balanced is when the assignment
-	// last changed.
-	load             ring.Load
-	loadAt, balanced time.Time
-	grewAt           map[string]time.Time // when machines of a type were last to be rented
+	// State of the fleet, used only while this controller leads.
+	managingFleet  bool
+	bookings       uint64
+	refusedUntil   map[fleet.Kind]time.Time
+	listedMachines map[string]protocol.Machine
+	listedAt       time.Time
+	catalogReadAt  time.Time
+	catalog        *protocol.Catalog
+	readingCatalog bool
+	started        time.Time
+	leadingSince   time.Time
+	draining       map[string]drainRequest
+	drainedHolders map[string]bool // holders that may still keep machines drained at this leader's request
+	rounds         uint64
+	booting        map[string]bool            // machines that were still booting in the previous round
+	bootTimes      map[string][]time.Duration // recent boot times by machine type, newest last
+	batches        map[string]*bookkeeping.RentalBatch
+	moveLimiter    *rate.Limiter // limits how many replicas are moved
+	// load is the load of the slots that the board showed at loadAt; assignmentChangedAt is when the
+	// assignment of slots last changed.
+	load                        ring.Load
+	loadAt, assignmentChangedAt time.Time
+	rentalPlannedAt             map[string]time.Time // when machines of a type were last planned to be rented
 }
 
-// NewLeader makes the actor.
+// NewLeader returns a leader actor; Run starts it.
 func NewLeader(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, cloud *transport.Cloud, owner *Owner, holders map[string]HolderCaller) *Leader {
 	return &Leader{actor: newActor(ctx), cfg: c, session: session, store: store, cloud: cloud, owner: owner, holders: holders,
-		members: map[string]*bookkeeping.Member{}, refusals: map[fleet.Kind]time.Time{}, listed: map[string]protocol.Machine{},
-		draining: map[string]drainWish{}, boots: map[string][]time.Duration{}, drained: map[string]bool{}, batches: map[string]*bookkeeping.RentalBatch{}, started: time.Now(),
-		grewAt: map[string]time.Time{}, moves: rate.NewLimiter(rate.Limit(c.Moves/60), max(1, int(c.Moves)))}
+		members: map[string]*bookkeeping.Member{}, refusedUntil: map[fleet.Kind]time.Time{}, listedMachines: map[string]protocol.Machine{},
+		draining: map[string]drainRequest{}, bootTimes: map[string][]time.Duration{}, drainedHolders: map[string]bool{}, batches: map[string]*bookkeeping.RentalBatch{}, started: time.Now(),
+		rentalPlannedAt: map[string]time.Time{}, moveLimiter: rate.NewLimiter(rate.Limit(c.Moves/60), max(1, int(c.Moves)))}
 }
 
 // Run runs the actor until its context ends.
 func (l *Leader) Run() { l.loop(250*time.Millisecond, l.tick) }
 
-func (l *Leader) leads() bool {
+// isLeader reports whether the current incarnation of this controller holds the leadership and its session is
+// valid.
+func (l *Leader) isLeader() bool {
 	return l.leader != nil && l.leader.Name == l.cfg.Name && l.leader.Term == l.session.Term() && l.session.Valid()
 }
 
 func (l *Leader) tick() {
-	l.learnCatalog()
+	l.refreshCatalog()
 	if !l.session.Valid() {
 		return
 	}
-	if !l.leads() {
-		l.leadFrom = time.Time{}
-		l.stand()
+	if !l.isLeader() {
+		l.leadingSince = time.Time{}
+		l.campaign()
 		return
 	}
-	if l.leadFrom.IsZero() {
-		l.leadFrom = time.Now()
+	if l.leadingSince.IsZero() {
+		l.leadingSince = time.Now()
 		slog.Info("leading", "term", l.session.Term())
 	}
-	l.publish()
-	l.manage()
+	l.publishWindow()
+	l.manageFleet()
 }
 
-// stand takes the leadership if nobody has it, or if the one who had it was
-// this controller's former process.
-func (l *Leader) stand() {
+// campaign takes the leadership if no controller holds it, or if an earlier incarnation of this controller
+// does.
+func (l *Leader) campaign() {
 	if l.writing || l.leader != nil && l.leader.Name != l.cfg.Name {
 		return
 	}
@@ -110,42 +112,43 @@
 
 // ---- windows
 
-// balanceEvery is how often a slot is moved for balance alone at most, and loadFresh how
-// old what is known of the load may be for it.
+// balanceInterval is the least time between two moves of a slot for balance alone; maxLoadAge is the greatest
+// age of the load data that such a move may be based on.
 const (
-	balanceEvery = 20 * time.Second
-	loadFresh    = 5 * time.Second
+	balanceInterval = 20 * time.Second
+	maxLoadAge      = 5 * time.Second
 )
 
-// firstWait is how long the very first window waits for controllers that are
-// not there yet.
-const firstWait = 2 * time.Second
+// firstWindowDelay is how long the first window of a cluster waits for controllers that have not joined yet.
+const firstWindowDelay = 2 * time.Second
 
-func (l *Leader) publish() {
+// publishWindow publishes the next window if there is one to publish.
+func (l *Leader) publishWindow() {
 	if l.writing {
 		return
 	}
-	if l.window == nil && len(l.members) < len(l.cfg.Siblings)+1 && time.Since(l.leadFrom) < firstWait {
-		return // all start together: what was assigned now would soon change hands
+	if l.window == nil && len(l.members) < len(l.cfg.Siblings)+1 && time.Since(l.leadingSince) < firstWindowDelay {
+		return // all controllers start together: slots assigned now would soon be reassigned
 	}
 	now := time.Now()
 	load := l.load
-	load.MayMove = load.Slots != nil && now.Sub(l.loadAt) < loadFresh && now.Sub(l.balanced) >= balanceEvery && now.Sub(l.leadFrom) >= balanceEvery
-	w := ring.NextWindow(l.window, l.members, l.cfg.Names(), load, now, l.cfg.Window, l.cfg.PublishOffset)
-	if w == nil {
+	load.MayMove = load.Slots != nil && now.Sub(l.loadAt) < maxLoadAge && now.Sub(l.assignmentChangedAt) >= balanceInterval && now.Sub(l.leadingSince) >= balanceInterval
+	next := ring.NextWindow(l.window, l.members, l.cfg.Names(), load, now, l.cfg.Window, l.cfg.PublishOffset)
+	if next == nil {
 		return
 	}
-	if l.window != nil && !slices.Equal(w.Assignment, l.window.Assignment) {
-		// Whatever the reason: nothing is moved for balance while slots change hands.
-		l.balanced = now
-		slog.Info("slots are dealt anew", "moved for balance", w.Moved)
+	if l.window != nil && !slices.Equal(next.Assignment, l.window.Assignment) {
+		// Whatever caused this change, it delays the next move for balance: no slot is moved for balance
+		// alone while slots change hands.
+		l.assignmentChangedAt = now
+		slog.Info("slots are dealt anew", "moved for balance", next.Moved)
 	}
 	l.writing = true
 	leader, seen := l.leader, l.window
 	go func() {
-		err := l.store.PublishWindow(l.ctx, leader, seen, *w)
+		err := l.store.PublishWindow(l.ctx, leader, seen, *next)
 		if err != nil {
-			slog.Debug("window not published", "number", w.Number, "err", err)
+			slog.Debug("window not published", "number", next.Number, "err", err)
 			pause(l.ctx, 300*time.Millisecond)
 		}
 		pause(l.ctx, 100*time.Millisecond)
@@ -153,33 +156,33 @@
 	}()
 }
 
-// ---- the catalogue
+// ---- the catalog
 
-// learnCatalog reads the machine types: every controller once, if the records
-// don't have them, and the leader regularly for the prices.
-func (l *Leader) learnCatalog() {
+// refreshCatalog reads the machine types from the cloud: every controller does until the catalog is known,
+// and the leader regularly afterwards, since prices change.
+func (l *Leader) refreshCatalog() {
 	every := time.Second
 	if l.catalog != nil {
-		if !l.leads() {
+		if !l.isLeader() {
 			return
 		}
 		every = 30 * time.Second
 	}
-	if l.catBusy || time.Since(l.priced) < every {
+	if l.readingCatalog || time.Since(l.catalogReadAt) < every {
 		return
 	}
-	l.catBusy, l.priced = true, time.Now()
+	l.readingCatalog, l.catalogReadAt = true, time.Now()
 	go func() {
 		c, err := l.cloud.Catalog(l.ctx)
 		l.tell(func() {
-			l.catBusy = false
+			l.readingCatalog = false
 			if err != nil || len(c.Types) == 0 {
-				slog.Debug("no catalogue", "err", err)
+				slog.Debug("catalog not read", "err", err)
 				return
 			}
 			first := l.catalog == nil
 			l.catalog = &c
-			if l.leads() || first {
+			if l.isLeader() || first {
 				go l.store.SaveCatalog(l.ctx, c)
 			}
 		})
--- a/internal/coordination/renting.go
+++ b/internal/coordination/renting.go
@@ -17,153 +17,155 @@
 	"daledyke/internal/transport"
 )
 
-// The fleet, as its leader keeps it.
+// Management of the fleet by the leader: machines are rented, drained, vacated and returned.
 
-// manage compares the fleet with what is needed, one round at a time.
-func (l *Leader) manage() {
-	if l.busy || l.catalog == nil {
+// manageFleet compares the fleet with the demand for machines, one round at a time.
+func (l *Leader) manageFleet() {
+	if l.managingFleet || l.catalog == nil {
 		return
 	}
-	l.busy = true
-	leadFrom, leadership := l.leadFrom, l.leader.Version
+	l.managingFleet = true
+	leadingSince, leadership := l.leadingSince, l.leader.Version
 	go func() {
-		l.round(leadFrom, leadership)
+		l.fleetRound(leadingSince, leadership)
 		pause(l.ctx, 700*time.Millisecond)
-		l.tell(func() { l.busy = false })
+		l.tell(func() { l.managingFleet = false })
 	}()
 }
 
-// fleetState is what the owner's board says about the fleet.
+// fleetState is a snapshot of the fleet, taken from the board of the owner.
 type fleetState struct {
-	in      fleet.Input
-	silent  []string
-	suspect []string
-	drained map[string]uint64 // the wish under which it was found empty
-	holder  map[string]string
-	reg     map[string]*bookkeeping.Machine
-	seen    map[string]bool
-	// up are machines that are not seen and on which tasks may be.
-	up    map[string]bool
-	ready bool
-	load  ring.Load
+	input      fleet.Input
+	silent     []string
+	suspect    []string
+	drained    map[string]uint64 // by machine found empty: the sequence number of the drain request in force then
+	holder     map[string]string
+	registered map[string]*bookkeeping.Machine
+	seen       map[string]bool
+	// mayHaveTasks are machines that no holder reports and that may have tasks.
+	mayHaveTasks map[string]bool
+	ready        bool
+	load         ring.Load
 }
 
-// round runs on a goroutine of its own; only one round runs at a time, and it
-// alone touches what the leader keeps of the fleet.
-func (l *Leader) round(leadFrom time.Time, leadership uint64) {
+// fleetRound runs on a goroutine of its own. Only one round runs at a time, and no other code uses the state
+// of the fleet that the leader keeps.
+func (l *Leader) fleetRound(leadingSince time.Time, leadership uint64) {
 	now := time.Now()
-	st := l.owner.fleet(l.ctx, now, l.started)
-	if st == nil || !l.session.Valid() {
+	state := l.owner.fleet(l.ctx, now, l.started)
+	if state == nil || !l.session.Valid() {
 		return
 	}
-	if st.ready {
-		l.tell(func() { l.load, l.loadAt = st.load, now })
+	if state.ready {
+		l.tell(func() { l.load, l.loadAt = state.load, now })
 	}
-	l.list(now, st)
-	wish := leadership<<24 + l.rounds // rises from round to round, and from leader to leader
+	l.refreshMachineList(now, state)
+	drainSequence := leadership<<24 + l.rounds // rises from round to round and from leader to leader
 	l.rounds++
-	l.noteBoots(st, now)
-	gone := l.notComing(st, leadFrom, now)
-	gone = append(gone, fleet.Lost(st.silent, st.holder, len(st.reg))...)
-	st.in.Refused = func(k fleet.Kind) bool { return now.Before(l.refusals[k]) }
-	l.tellRefusals(now)
-	st.in.IdleAfter = l.cfg.IdleAfter
-	rent, idle := fleet.Plan(&st.in)
-	slog.Debug("fleet", "machines", len(st.in.Machines), "fillers", fleet.Fillers(st.in.Machines), "idle", len(idle),
-		"kinds to rent", len(rent), "ready", st.ready)
-	vacate := l.vacate(&st.in, rent, now)
-	gone = append(gone, l.keepFree(st, wish, idle, vacate, now)...)
-	l.drain(st, wish)
-	l.giveBack(gone)
-	if st.ready {
+	l.recordBootTimes(state, now)
+	gone := l.missingMachines(state, leadingSince, now)
+	gone = append(gone, fleet.Lost(state.silent, state.holder, len(state.registered))...)
+	state.input.Refused = func(k fleet.Kind) bool { return now.Before(l.refusedUntil[k]) }
+	l.reportRefusedKinds(now)
+	state.input.IdleAfter = l.cfg.IdleAfter
+	rent, idle := fleet.Plan(&state.input)
+	slog.Debug("fleet", "machines", len(state.input.Machines), "fillers", fleet.Fillers(state.input.Machines), "idle", len(idle),
+		"kinds to rent", len(rent), "ready", state.ready)
+	vacate := l.chooseVacated(&state.input, rent, now)
+	gone = append(gone, l.updateDrains(state, drainSequence, idle, vacate, now)...)
+	l.sendDrains(state, drainSequence)
+	l.returnMachines(gone)
+	if state.ready {
 		l.rent(rent)
 	}
 }
 
-// notComing are the registered machines that failed, that never came up or that never came back after their
-// controllers changed; those that are still to come are added to what is planned with.
-func (l *Leader) notComing(st *fleetState, leadFrom, now time.Time) (gone []string) {
-	for id, m := range st.reg {
-		if listed, isListed := l.listed[id]; isListed && listed.Status == "failed" {
+// missingMachines returns the registered machines that failed, that did not come up in time, or that did not
+// reappear after a change of holder or leader. Machines that may still come up are added to the input of the
+// plan.
+func (l *Leader) missingMachines(state *fleetState, leadingSince, now time.Time) (gone []string) {
+	for id, m := range state.registered {
+		if listed, isListed := l.listedMachines[id]; isListed && listed.Status == "failed" {
 			gone = append(gone, id)
 			continue
 		}
-		if st.seen[id] {
+		if state.seen[id] {
 			continue
 		}
-		t, ok := st.in.Types[m.Type]
+		t, ok := state.input.Types[m.Type]
 		if !ok {
 			continue
 		}
 		age := now.Sub(time.UnixMilli(m.RentedMs))
-		late, never := fleet.BootLimits(protocol.Seconds(t.BootS), l.boots[m.Type])
-		if up := st.up[id]; !up && age > never || up && age > protocol.Seconds(t.BootS)+backWithin && now.Sub(leadFrom) > backWithin {
+		lateAfter, missingAfter := fleet.BootLimits(protocol.Seconds(t.BootS), l.bootTimes[m.Type])
+		if up := state.mayHaveTasks[id]; !up && age > missingAfter || up && age > protocol.Seconds(t.BootS)+reappearTimeout && now.Sub(leadingSince) > reappearTimeout {
 			gone = append(gone, id)
 			continue
 		}
-		st.in.Machines = append(st.in.Machines, &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Booting: true,
-			Free: t.Room(), Drains: age > late}) // late ones are not counted on
+		state.input.Machines = append(state.input.Machines, &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Booting: true,
+			Free: t.Room(), Drains: age > lateAfter}) // machines that are late count as draining: the plan does not rely on them
 	}
 	return gone
 }
 
-// backWithin is for how long a machine on which tasks may be is waited for that nobody shows, from when
-// it should be up and from when this controller began to lead.
-const backWithin = 60 * time.Second
+// reappearTimeout is how long the leader waits for a machine that may have tasks and that no holder reports.
+// It is counted both from when the machine should be up and from when this controller began to lead.
+const reappearTimeout = 60 * time.Second
 
-// keepFree has machines kept free that are idle, suspect or to be vacated; it gives those that may go back.
-func (l *Leader) keepFree(st *fleetState, wish uint64, idle, vacate []string, now time.Time) (gone []string) {
+// updateDrains updates the set of machines to be drained: those that are idle, suspect or to be vacated. It
+// returns the machines that may be returned to the cloud.
+func (l *Leader) updateDrains(state *fleetState, sequence uint64, idle, vacate []string, now time.Time) (gone []string) {
 	unwanted := map[string]bool{}
-	for _, id := range slices.Concat(idle, st.suspect, vacate) {
+	for _, id := range slices.Concat(idle, state.suspect, vacate) {
 		unwanted[id] = true
 		d, ok := l.draining[id]
 		if !ok {
-			d = drainWish{wish: wish, since: now}
+			d = drainRequest{sequence: sequence, since: now}
 		}
 		d.vacates = slices.Contains(vacate, id)
 		l.draining[id] = d
-		// Only if it was empty under this wish: it may have been used since an
+		// The machine must have been found empty under this drain request: it may have been used since an
 		// earlier one.
-		if st.drained[id] >= d.wish || slices.Contains(st.suspect, id) && now.Sub(d.since) > 20*time.Second {
+		if state.drained[id] >= d.sequence || slices.Contains(state.suspect, id) && now.Sub(d.since) > 20*time.Second {
 			gone = append(gone, id)
 		}
 	}
-	maps.DeleteFunc(l.draining, func(id string, _ drainWish) bool { return !unwanted[id] })
+	maps.DeleteFunc(l.draining, func(id string, _ drainRequest) bool { return !unwanted[id] })
 	return gone
 }
 
-// drainWish is since when a machine is to be kept free of new tasks.
-type drainWish struct {
-	wish  uint64
-	since time.Time
-	// vacates: what is on it is to be moved elsewhere.
+// drainRequest asks for a machine to receive no new tasks.
+type drainRequest struct {
+	sequence uint64
+	since    time.Time
+	// vacates: the owners are to move the tasks on the machine elsewhere.
 	vacates bool
 }
 
-// vacate chooses the machines whose services are to be moved elsewhere.
-func (l *Leader) vacate(in *fleet.Input, rent []fleet.Rental, now time.Time) []string {
+// chooseVacated chooses the machines whose services are to be moved elsewhere.
+func (l *Leader) chooseVacated(in *fleet.Input, rent []fleet.Rental, now time.Time) []string {
 	if l.cfg.Moves == 0 {
 		return nil
 	}
 	vacating := map[string]bool{}
 	for id, d := range l.draining {
-		if d.vacates && now.Sub(d.since) < vacateFor {
+		if d.vacates && now.Sub(d.since) < vacateTimeout {
 			vacating[id] = true
 		}
 	}
-	grew := map[string]bool{}
+	recentlyGrown := map[string]bool{}
 	for _, r := range rent {
-		l.grewAt[r.Type] = now
+		l.rentalPlannedAt[r.Type] = now
 	}
-	for rig, at := range l.grewAt {
-		grew[rig] = now.Sub(at) < balance.GrownFor
+	for machineType, at := range l.rentalPlannedAt {
+		recentlyGrown[machineType] = now.Sub(at) < balance.GrownFor
 	}
-	chosen := balance.Vacate(in, grew, vacating, int(l.moves.TokensAt(now)))
+	chosen := balance.Vacate(in, recentlyGrown, vacating, int(l.moveLimiter.TokensAt(now)))
 	for _, m := range in.Machines {
 		if !vacating[m.ID] && slices.Contains(chosen, m.ID) {
-			l.moves.AllowN(now, len(m.Live))
+			l.moveLimiter.AllowN(now, len(m.Live))
 			if d, ok := l.draining[m.ID]; ok {
-				d.since = now // chosen anew, and paid for once
+				d.since = now // chosen again: the limiter is charged once for each choice
 				l.draining[m.ID] = d
 			}
 			slog.Info("vacating", "machine", m.ID, "services", len(m.Live))
@@ -172,29 +174,28 @@
 	return chosen
 }
 
-// vacateFor is how long a machine may take to be vacated before it is used again, or
-// chosen anew.
-const vacateFor = 30 * time.Second
+// vacateTimeout is how long a machine may take to be vacated; after that it may be used or chosen again.
+const vacateTimeout = 30 * time.Second
 
-// noteBoots learns how long machines take to come up.
-func (l *Leader) noteBoots(st *fleetState, now time.Time) {
-	coming := map[string]bool{}
-	for id, m := range st.reg {
+// recordBootTimes records how long machines took to boot.
+func (l *Leader) recordBootTimes(state *fleetState, now time.Time) {
+	booting := map[string]bool{}
+	for id, m := range state.registered {
 		age := now.Sub(time.UnixMilli(m.RentedMs))
 		switch {
-		case !st.seen[id]:
-			coming[id] = !st.up[id]
-		case l.coming[id] && age > 0:
-			b := append(l.boots[m.Type], age)
-			l.boots[m.Type] = b[max(0, len(b)-fleet.MaxBoots):]
+		case !state.seen[id]:
+			booting[id] = !state.mayHaveTasks[id]
+		case l.booting[id] && age > 0:
+			times := append(l.bootTimes[m.Type], age)
+			l.bootTimes[m.Type] = times[max(0, len(times)-fleet.MaxBoots):]
 		}
 	}
-	l.coming = coming
+	l.booting = booting
 }
 
-// list reads the machine list now and then, for machines that failed and for
-// those that nobody expected.
-func (l *Leader) list(now time.Time, st *fleetState) {
+// refreshMachineList reads the list of machines from the cloud at intervals, to find machines that failed and
+// machines that are neither registered nor reported by a holder.
+func (l *Leader) refreshMachineList(now time.Time, state *fleetState) {
 	if now.Sub(l.listedAt) < max(4*time.Second, l.cfg.ListLag()) {
 		return
 	}
@@ -204,7 +205,7 @@
 	for {
 		page, err := l.cloud.List(l.ctx, from)
 		if err != nil {
-			slog.Debug("no machine list", "err", err)
+			slog.Debug("machine list not read", "err", err)
 			return
 		}
 		for _, m := range page.Machines {
@@ -215,54 +216,55 @@
 			break
 		}
 	}
-	l.listed = listed
-	var fresh []bookkeeping.Machine
+	l.listedMachines = listed
+	var unexpected []bookkeeping.Machine
 	for id, m := range listed {
-		if st.reg[id] == nil && !st.seen[id] && m.Status != "failed" && m.AgeS > 10 && !l.owner.isGone(l.ctx, id) {
-			fresh = append(fresh, bookkeeping.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, RentedMs: now.Add(-protocol.Seconds(m.AgeS)).UnixMilli()})
+		if state.registered[id] == nil && !state.seen[id] && m.Status != "failed" && m.AgeS > 10 && !l.owner.isGone(l.ctx, id) {
+			unexpected = append(unexpected, bookkeeping.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, RentedMs: now.Add(-protocol.Seconds(m.AgeS)).UnixMilli()})
 		}
 	}
-	if len(fresh) > 0 {
-		slog.Info("unexpected machines", "count", len(fresh))
-		for _, batch := range bookkeeping.RentalBatches(fresh) {
+	if len(unexpected) > 0 {
+		slog.Info("unexpected machines", "count", len(unexpected))
+		for _, batch := range bookkeeping.RentalBatches(unexpected) {
 			l.bookings++
-			l.register(fmt.Sprintf("x-%d-%d", l.session.Term(), l.bookings), batch)
+			l.registerBatch(fmt.Sprintf("x-%d-%d", l.session.Term(), l.bookings), batch)
 		}
 	}
 }
 
-// drain tells the holders which of their machines are to be kept free of new
-// tasks; those that were and no longer are, they may use again.
-func (l *Leader) drain(st *fleetState, wish uint64) {
+// sendDrains tells each holder which of its machines receive no new tasks. Machines that are no longer named
+// become usable again.
+func (l *Leader) sendDrains(state *fleetState, sequence uint64) {
 	byHolder := map[string]*DrainArgs{}
 	for name := range l.holders {
-		byHolder[name] = &DrainArgs{Caller: l.cfg.Name, Wish: wish}
+		byHolder[name] = &DrainArgs{Caller: l.cfg.Name, Wish: sequence}
 	}
 	for id, d := range l.draining {
-		if a := byHolder[st.holder[id]]; a != nil && d.vacates {
-			a.Vacate = append(a.Vacate, id)
-		} else if a != nil {
-			a.Machines = append(a.Machines, id)
+		if args := byHolder[state.holder[id]]; args != nil && d.vacates {
+			args.Vacate = append(args.Vacate, id)
+		} else if args != nil {
+			args.Machines = append(args.Machines, id)
 		}
 	}
-	for name, a := range byHolder {
-		if some := len(a.Machines)+len(a.Vacate) > 0; some || l.drained[name] {
-			err := l.holders[name].Drain(l.ctx, *a)
-			l.drained[name] = some || err != nil
+	for name, args := range byHolder {
+		if hasMachines := len(args.Machines)+len(args.Vacate) > 0; hasMachines || l.drainedHolders[name] {
+			err := l.holders[name].Drain(l.ctx, *args)
+			l.drainedHolders[name] = hasMachines || err != nil
 		}
 	}
 }
 
-// giveBack returns machines; what was on them is gone once the cloud has
-// answered, and the registry says so to everyone.
-func (l *Leader) giveBack(ids []string) {
+// returnMachines returns machines to the cloud. Once the cloud has confirmed, the tasks on them have ended;
+// dropping the machines from the registry tells all controllers so.
+func (l *Leader) returnMachines(ids []string) {
 	if len(ids) == 0 || !l.session.Valid() {
 		return
 	}
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
-	// Only what a batch names: dropping it there is what tells everyone.
-	batches, named := map[string]*bookkeeping.RentalBatch{}, map[string]bool{}
+	// Only machines named in a rental batch are returned: their removal from the batch is what informs all
+	// controllers.
+	batches, registered := map[string]*bookkeeping.RentalBatch{}, map[string]bool{}
 	l.ask(l.ctx, func() {
 		wanted := make(map[string]bool, len(ids))
 		for _, id := range ids {
@@ -270,34 +272,34 @@
 		}
 		for name, batch := range l.batches {
 			for _, id := range batch.Machines {
-				if wanted[id] && (named[id] || len(named) < protocol.MaxReturn) {
-					named[id], batches[name] = true, batch
+				if wanted[id] && (registered[id] || len(registered) < protocol.MaxReturn) {
+					registered[id], batches[name] = true, batch
 				}
 			}
 		}
 	})
-	if ids = slices.Sorted(maps.Keys(named)); len(ids) == 0 {
+	if ids = slices.Sorted(maps.Keys(registered)); len(ids) == 0 {
 		return
 	}
 	if err := l.cloud.Return(l.ctx, ids); err != nil {
-		slog.Info("return failed", "machines", len(ids), "err", err)
+		slog.Info("machines not returned", "machines", len(ids), "err", err)
 		return
 	}
 	slog.Info("returned machines", "ids", ids)
-	if err := l.store.DropMachines(l.ctx, named, batches); err != nil {
-		slog.Info("registry not updated, will return again", "err", err)
+	if err := l.store.DropMachines(l.ctx, registered, batches); err != nil {
+		slog.Info("registry not updated; the machines will be returned again", "err", err)
 		return
 	}
 	for _, id := range ids {
-		delete(l.listed, id)
+		delete(l.listedMachines, id)
 		delete(l.draining, id)
 	}
 }
 
-// tellRefusals lets the owner know which kinds the cloud has none of.
-func (l *Leader) tellRefusals(now time.Time) {
+// reportRefusedKinds tells the owner which kinds of machines the cloud has no capacity for.
+func (l *Leader) reportRefusedKinds(now time.Time) {
 	var refused []fleet.Kind
-	for kind, until := range l.refusals {
+	for kind, until := range l.refusedUntil {
 		if now.Before(until) {
 			refused = append(refused, kind)
 		}
@@ -306,52 +308,52 @@
 	l.owner.tell(func() { l.owner.refused = refused })
 }
 
-// rent rents machines. A booking's name is made of the controller's term,
-// which the state service gave once and for all, and a rising number.
+// rent rents machines. The name of a booking is unique: it consists of the term of the controller, which the
+// state service assigns only once, and a counter.
 func (l *Leader) rent(rentals []fleet.Rental) {
 	for _, r := range rentals {
 		if !l.session.Valid() {
 			return
 		}
-		key := r.Kind
-		if time.Now().Before(l.refusals[key]) {
-			continue // the cloud ran out of it in this very round
+		kind := r.Kind
+		if time.Now().Before(l.refusedUntil[kind]) {
+			continue // an earlier rental of this round met the limit of the cloud
 		}
 		l.bookings++
 		req := protocol.RentRequest{Booking: fmt.Sprintf("b-%d-%d", l.session.Term(), l.bookings), Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
-		names, err := l.cloud.Rent(l.ctx, req)
+		rented, err := l.cloud.Rent(l.ctx, req)
 		if errors.Is(err, transport.ErrUnknown) {
-			names, err = l.cloud.Rent(l.ctx, req) // the same booking: nothing is rented twice
+			rented, err = l.cloud.Rent(l.ctx, req) // a retry with the same booking rents nothing twice
 		}
 		if errors.Is(err, transport.ErrNoCapacity) {
-			l.refusals[key] = time.Now().Add(20 * time.Second)
-			slog.Info("no capacity", "kind", key)
+			l.refusedUntil[kind] = time.Now().Add(20 * time.Second)
+			slog.Info("no capacity", "kind", kind)
 			continue
 		}
 		if err != nil {
-			slog.Info("rental failed", "kind", key, "err", err)
+			slog.Info("machines not rented", "kind", kind, "err", err)
 			return
 		}
-		if len(names.Machines) < r.Count {
-			l.refusals[key] = time.Now().Add(15 * time.Second)
+		if len(rented.Machines) < r.Count {
+			l.refusedUntil[kind] = time.Now().Add(15 * time.Second)
 		}
-		slog.Info("rented", "kind", key, "for", r.Class, "asked", r.Count, "got", len(names.Machines))
-		batch := bookkeeping.RentalBatch{Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedMs: time.Now().UnixMilli(), Machines: names.Machines}
+		slog.Info("rented", "kind", kind, "for", r.Class, "asked", r.Count, "got", len(rented.Machines))
+		batch := bookkeeping.RentalBatch{Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedMs: time.Now().UnixMilli(), Machines: rented.Machines}
 		l.owner.expect(batch)
-		l.register(req.Booking, batch)
+		l.registerBatch(req.Booking, batch)
 	}
 }
 
-// register writes a batch, and goes on trying for a while; what stays without a
-// record is found by its holder or in the machine list.
-func (l *Leader) register(name string, batch bookkeeping.RentalBatch) {
+// registerBatch records a batch of rented machines and retries for a few seconds. A machine that remains
+// unrecorded is found by its holder or in the machine list.
+func (l *Leader) registerBatch(name string, batch bookkeeping.RentalBatch) {
 	go func() {
 		for range 5 {
 			err := l.store.AddRentalBatch(l.ctx, transport.Ordinary, name, batch)
 			if err == nil {
 				return
 			}
-			slog.Debug("machines not registered", "lot", name, "err", err)
+			slog.Debug("machines not registered", "batch", name, "err", err)
 			pause(l.ctx, time.Second)
 		}
 	}()
