--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -32,7 +32,7 @@
 )
 
 func (p holderPeer) Announce(ctx context.Context, a AnnounceArgs) error {
-	return p.Call(ctx, membership.RequestTimeout, rpcName+".Announce", a, &Nothing{})
+	return p.Call(ctx, membership.RequestTimeout, holderServiceName+".Announce", a, &Nothing{})
 }
 
 // Announce takes in which jobs a sibling knows to be cancelled; it returns once no answer or command
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -137,11 +137,11 @@
 		}()
 		k := &Controller{holder: h}
 		asked := &standing{job: pendingJob("wk-1")}
-		if st, err := k.confirm(ctx, asked); err != nil || st.Status != protocol.Pending {
+		if st, err := k.confirmedStatus(ctx, asked); err != nil || st.Status != protocol.Pending {
 			t.Fatalf("%+v, %v", st, err)
 		}
 		h.tell(func() { h.cancelled.Learn("wk-1", time.Now()) })
-		if st, err := k.confirm(ctx, asked); !errors.Is(err, ErrLater) {
+		if st, err := k.confirmedStatus(ctx, asked); !errors.Is(err, ErrRetryLater) {
 			t.Errorf("%+v, %v", st, err)
 		}
 	})
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -170,9 +170,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 3, "", "")
-				defer w.end()
+				defer w.close()
 				ended := map[string]chan struct{}{}
-				w.watch = func(e history.Event) {
+				w.onEvent = func(e history.Event) {
 					if id, _, ok := protocol.SplitTask(e.Task); e.Kind == history.Off && e.Cause == protocol.CauseDone && ok && ended[id] != nil {
 						close(ended[id])
 						delete(ended, id)
--- a/internal/coordination/bad_input_test.go
+++ b/internal/coordination/bad_input_test.go
@@ -14,21 +14,21 @@
 	"daledyke/internal/protocol"
 )
 
-// submission is a sound submission, field by field.
-func submission(id string) map[string]any {
+// validSubmission is a sound validSubmission, field by field.
+func validSubmission(id string) map[string]any {
 	return map[string]any{"id": id, "laneClass": "batch", "crew": "free", "shape": "array", "urgency": "normal", "passes": 2, "cores": 1.0, "accelerators": 0.0,
 		"ramGb": 1.0, "build": "img", "pullGb": 1.0, "rigs": nil, "plaza": nil, "oneZone": false, "scatter": false, "standby": false,
 		"expectedS": 10.0, "snapshotS": 0.0, "flushS": 0.0, "dueS": nil}
 }
 
-// badSubmissions are submissions that must never be accepted, and the status that refuses each: every
+// invalidSubmissions are submissions that must never be accepted, and the status that refuses each: every
 // field left out, null and of each wrong kind, amounts out of range, and jobs that can never run.
-func badSubmissions() map[string]int {
+func invalidSubmissions() map[string]int {
 	bad := map[string]int{}
 	n := 0
 	add := func(status int, change func(map[string]any)) {
 		n++
-		s := submission(fmt.Sprintf("wk-%d", 900_000+n))
+		s := validSubmission(fmt.Sprintf("wk-%d", 900_000+n))
 		change(s)
 		raw, _ := json.Marshal(s)
 		bad[string(raw)] = status
@@ -42,12 +42,12 @@
 		return wrong
 	}
 	required := protocol.RequiredFields()
-	for _, field := range slices.Sorted(maps.Keys(submission(""))) {
+	for _, field := range slices.Sorted(maps.Keys(validSubmission(""))) {
 		if slices.Contains(required, field) {
 			add(400, func(s map[string]any) { delete(s, field) })
 			add(400, func(s map[string]any) { s[field] = nil })
 		}
-		right := submission("")[field]
+		right := validSubmission("")[field]
 		switch field {
 		case "rigs":
 			right = []any{}
@@ -83,7 +83,7 @@
 func TestBadInputIsNeverAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
-		defer w.end()
+		defer w.close()
 		time.Sleep(4 * time.Second)
 		if err := w.submit([]string{"wk-1", "array", "1", "run=5s"}); err != nil {
 			t.Fatal(err)
@@ -95,7 +95,7 @@
 			}
 			return status
 		}
-		for body, want := range badSubmissions() {
+		for body, want := range invalidSubmissions() {
 			id := protocol.PeekID([]byte(body))
 			for _, node := range w.names {
 				if got := send(node, http.MethodPost, "/v1/jobs", body); got != want {
@@ -129,13 +129,13 @@
 
 // A controller that does not know the machine types can't tell whether a job fits: it accepts and
 // refuses nothing for that, and still calls malformed what is malformed.
-func TestNothingIsJudgedWithoutMachineTypes(t *testing.T) {
+func TestFitIsUndecidedWithoutMachineTypes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
-		defer w.end()
+		defer w.close()
 		w.em.CloudOutage(true)
 		time.Sleep(4 * time.Second)
-		for body, status := range badSubmissions() {
+		for body, status := range invalidSubmissions() {
 			want := http.StatusServiceUnavailable
 			if status == http.StatusBadRequest {
 				want = status
--- a/internal/coordination/chains.go
+++ b/internal/coordination/chains.go
@@ -60,7 +60,7 @@
 		return out
 	})
 	if !ok || known == nil {
-		return "", ErrLater
+		return "", ErrRetryLater
 	}
 	if err := k.readNeeds(ctx, spec, known); err != nil {
 		return "", err
@@ -98,7 +98,7 @@
 			listed[id], err = k.store.ReadJob(ctx, id)
 		}
 		if err != nil {
-			return ErrLater
+			return ErrRetryLater
 		}
 		if listed[id] == nil {
 			return nil // nothing more need be known
@@ -124,7 +124,7 @@
 
 // foundOver takes in a job that is over and that the replica does not have.
 func (k *Controller) foundOver(j *bookkeeping.Job) {
-	j.Seat = Place(k.cfg, j.Spec)
+	j.Seat = SeatFor(k.cfg, j.Spec)
 	k.holder.tell(func() {
 		if k.holder.jobs[j.Spec.ID] == nil {
 			k.holder.jobChanged(j)
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -16,8 +16,7 @@
 	"daledyke/internal/transport"
 )
 
-// Controller is one controller: its actors and what users and workers ask of
-// them.
+// Controller is one controller: its actors and the requests that users and workers make of it.
 type Controller struct {
 	cfg     *config.Config
 	started time.Time
@@ -36,50 +35,52 @@
 	quotas atomic.Pointer[quotaSet]
 }
 
-// sibling reaches a holder over net/rpc. Feeds wait, so they have a
-// connection of their own.
-type sibling struct {
-	feeds, asks *transport.Peer
+// siblingHolder calls the holder of a sibling over net/rpc. Feed requests block until there are news, so they
+// have a connection of their own.
+type siblingHolder struct {
+	feeds, requests *transport.Peer
 }
 
-// rpcName is the name that holders are served under.
-const rpcName = "Holder"
+// holderServiceName is the net/rpc name of the holder service.
+const holderServiceName = "Holder"
 
-func (s sibling) Feed(ctx context.Context, a FeedArgs, r *board.News) error {
-	return s.feeds.Call(ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second, rpcName+".Feed", a, r)
+func (s siblingHolder) Feed(ctx context.Context, a FeedArgs, r *board.News) error {
+	return s.feeds.Call(ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second, holderServiceName+".Feed", a, r)
 }
 
-func (s sibling) Ask(ctx context.Context, a AskArgs, r *AskReply) error {
-	return s.asks.Call(ctx, 2*time.Second, rpcName+".Ask", a, r)
+func (s siblingHolder) Ask(ctx context.Context, a AskArgs, r *AskReply) error {
+	return s.requests.Call(ctx, 2*time.Second, holderServiceName+".Ask", a, r)
 }
 
-func (s sibling) Drain(ctx context.Context, a DrainArgs) error {
-	return s.asks.Call(ctx, 2*time.Second, rpcName+".Drain", a, &Nothing{})
+func (s siblingHolder) Drain(ctx context.Context, a DrainArgs) error {
+	return s.requests.Call(ctx, 2*time.Second, holderServiceName+".Drain", a, &Nothing{})
 }
 
-// local reaches this controller's own holder.
-type local struct{ rpc HolderRPC }
+// localHolder calls the holder of this controller.
+type localHolder struct{ rpc HolderRPC }
 
-func (l local) Feed(_ context.Context, a FeedArgs, r *board.News) error { return l.rpc.Feed(a, r) }
-func (l local) Ask(_ context.Context, a AskArgs, r *AskReply) error     { return l.rpc.Ask(a, r) }
-func (l local) Drain(_ context.Context, a DrainArgs) error              { return l.rpc.Drain(a, &Nothing{}) }
+func (l localHolder) Feed(_ context.Context, a FeedArgs, r *board.News) error {
+	return l.rpc.Feed(a, r)
+}
+func (l localHolder) Ask(_ context.Context, a AskArgs, r *AskReply) error { return l.rpc.Ask(a, r) }
+func (l localHolder) Drain(_ context.Context, a DrainArgs) error          { return l.rpc.Drain(a, &Nothing{}) }
 
-// NewController puts a controller together.
+// NewController creates a controller with all its actors; Serve or Run starts it.
 func NewController(ctx context.Context, c *config.Config, dial transport.Dialer) *Controller {
 	d := &c.Deployment
-	share := float64(len(c.Siblings) + 1)
-	state := transport.NewState(dial, c.Services.State, d.State.RPS/share, d.State.WriteRPS/share)
+	controllers := float64(len(c.Siblings) + 1)
+	state := transport.NewState(dial, c.Services.State, d.State.RPS/controllers, d.State.WriteRPS/controllers)
 	k := &Controller{cfg: c, started: time.Now(), state: state, store: bookkeeping.NewStore(state, d.State.TxnOps, c.ValueBytes())}
 	k.session = NewSession(c, k.store, func() { k.holder.ask(ctx, k.holder.reset) })
 	k.holder = NewHolder(ctx, c, k.session, k.store, transport.NewWorkers(dial, c.ToWorkers()))
 	k.holder.served = k.state.Counts.Served
-	holders := map[string]HolderCaller{c.Name: local{HolderRPC{k.holder}}}
+	holders := map[string]HolderCaller{c.Name: localHolder{HolderRPC{k.holder}}}
 	lenders := map[string]LendCaller{}
 	for _, s := range c.Siblings {
 		if c.Quotas != nil {
 			lenders[s.Name] = lendPeer{transport.NewPeer(ctx, dial, s.Addr)}
 		}
-		holders[s.Name] = sibling{transport.NewPeer(ctx, dial, s.Addr), transport.NewPeer(ctx, dial, s.Addr)}
+		holders[s.Name] = siblingHolder{transport.NewPeer(ctx, dial, s.Addr), transport.NewPeer(ctx, dial, s.Addr)}
 		peer := holderPeer{transport.NewPeer(ctx, dial, s.Addr)}
 		k.holder.moratoriumPeers = append(k.holder.moratoriumPeers, peer)
 		k.holder.announcers = append(k.holder.announcers, peer)
@@ -95,20 +96,20 @@
 	}
 	k.reader = bookkeeping.NewReader(k.store)
 	k.reader.Found = k.foundOver
-	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.Seat { return Place(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgency(c, j) }, k,
+	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.Seat { return SeatFor(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgency(c, j) }, k,
 		func(revision uint64) { k.reader.Caught(ctx, revision) })
 	k.replica.Block = c.WatchFor()
 	return k
 }
 
-// Receivers are what siblings may call.
+// Receivers returns the net/rpc services for siblings by name.
 func (k *Controller) Receivers() map[string]any {
-	return map[string]any{rpcName: HolderRPC{k.holder}, quotaServiceName: QuotaRPC{k}}
+	return map[string]any{holderServiceName: HolderRPC{k.holder}, quotaServiceName: QuotaRPC{k}}
 }
 
-// Serve runs the controller until ctx ends, and serves users and workers at its front
-// door, over so many connections at most, and its siblings at the inner one. It returns once
-// one of the two can't be served any more.
+// Serve runs the controller until ctx ends. It serves users and workers on the front listener, over at most
+// the given number of connections, and siblings on the inner one. It returns once one of the two listeners
+// fails.
 func (k *Controller) Serve(ctx context.Context, front, inner net.Listener, connections int) error {
 	failed := make(chan error, 2)
 	go func() { failed <- transport.ServeFront(front, k, connections) }()
@@ -128,35 +129,35 @@
 	k.replica.Run(ctx)
 }
 
-// refusedFor is how much later a sibling was served by the state service than this
-// controller before this one sends users elsewhere: everybody's watch has an answer every 3 s
-// at least. silentFor is for how long both the state service and all siblings are silent
-// before it takes itself for cut off.
+// maxServedLag is how much later the state service may have answered a sibling than this controller before
+// this controller reports itself unhealthy; each watch gets an answer at least every 3 s. isolationTimeout is
+// how long both the state service and all siblings must be silent before this controller considers itself cut
+// off.
 const (
-	refusedFor = 5 * time.Second
-	silentFor  = 6 * time.Second
+	maxServedLag     = 5 * time.Second
+	isolationTimeout = 6 * time.Second
 )
 
-// Healthy tells whether this controller can take users' requests. A short outage of the
-// state service strikes all alike and is no reason to send users away; being the only one
-// that is refused is, and so is being cut off from both the state service and all siblings:
-// once, a controller that had only its workers left took a third of the users' requests, as
-// nobody told it that the others were served.
+// Healthy reports whether this controller can take requests of users. A short outage of the state service
+// affects all controllers and is no reason to turn users away. Being the only controller that the state
+// service refuses is a reason, and so is being cut off from both the state service and all siblings: a
+// controller that reached only its workers took a third of the requests of users, since nothing told it that
+// the state service answered the others.
 func (k *Controller) Healthy() bool {
 	if !k.loaded.Load() {
 		return false
 	}
 	alone := len(k.cfg.Siblings) > 0 && !k.owner.othersHeard.Load()
 	switch now := time.Now(); {
-	case alone && now.Sub(k.state.Counts.Answered()) > silentFor:
+	case alone && now.Sub(k.state.Counts.Answered()) > isolationTimeout:
 		return false
-	case time.UnixMilli(k.owner.othersServed.Load()).Sub(k.state.Counts.Served()) > refusedFor:
+	case time.UnixMilli(k.owner.othersServed.Load()).Sub(k.state.Counts.Served()) > maxServedLag:
 		return false
 	}
 	return k.session.Valid() || !k.owner.othersValid.Load()
 }
 
-// Report passes a worker's report to the holder.
+// Report passes the report of a worker to the holder.
 func (k *Controller) Report(ctx context.Context, rep *protocol.Report) (status int, body any) {
 	status = http.StatusServiceUnavailable
 	var s int
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -109,7 +109,7 @@
 		return r
 	}
 	open := func(ps *pendingStart, holder string, r *board.News) bool {
-		return !o.resolved(ps, holder, &FeedArgs{Fence: protocol.NewToken(1, 100)}, r)
+		return !o.startResolved(ps, holder, &FeedArgs{Fence: protocol.NewToken(1, 100)}, r)
 	}
 	news("c0", 1, 10, 5, true, 0, 3)
 	acked := &pendingStart{machine: "m", holder: "c0", inc: 1, slot: 3, term: 5, id: protocol.NewToken(1, 7), acked: true, ackInc: 1, version: 12}
@@ -169,7 +169,7 @@
 
 // settingsWith writes the traces' settings with guarantees for both teams.
 func settingsWith(t *testing.T, free, bound string) string {
-	text := strings.Replace(fmt.Sprintf(settingsText, "c0", "c0", "c0", "", "1", ""), "name = \"free\"\n", "name = \"free\"\n"+free, 1)
+	text := strings.Replace(fmt.Sprintf(settingsTemplate, "c0", "c0", "c0", "", "1", ""), "name = \"free\"\n", "name = \"free\"\n"+free, 1)
 	text = strings.Replace(text, "name = \"bound\"\n", "name = \"bound\"\n"+bound, 1)
 	file := filepath.Join(t.TempDir(), "c0.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -185,16 +185,16 @@
 	o := &Owner{actor: newActor(context.Background()), cfg: &config.Config{}}
 	o.cfg.Name = "c0"
 	for n, owners := range [][]string{controllers, controllers, {"c0", "c1"}, {"c0", "c1"}, {"c0", "c1"}} {
-		o.obey(&bookkeeping.Window{Number: uint64(n + 1), Owners: owners})
+		o.adoptWindow(&bookkeeping.Window{Number: uint64(n + 1), Owners: owners})
 	}
-	if o.presentSince() != 3 {
-		t.Fatalf("present owners since %d", o.presentSince())
+	if o.ownersUnchangedSince() != 3 {
+		t.Fatalf("present owners since %d", o.ownersUnchangedSince())
 	}
-	o.born = map[uint64]uint64{o.presentSince(): 77}
+	o.born = map[uint64]uint64{o.ownersUnchangedSince(): 77}
 	for i := range 2000 {
 		token := protocol.RingToken(protocol.TaskName("wk-1", i))
-		if g := o.gainOf(token); (g != 0) != (o.window().Owner(token) == "c0") || g != 0 && o.bornBy(g) != 77 {
-			t.Fatalf("token %d gained at %d, born by %d", token, g, o.bornBy(g))
+		if g := o.tokenGainWindow(token); (g != 0) != (o.window().Owner(token) == "c0") || g != 0 && o.newJobRevision(g) != 77 {
+			t.Fatalf("token %d gained at %d, born by %d", token, g, o.newJobRevision(g))
 		}
 	}
 }
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -8,15 +8,16 @@
 	"daledyke/internal/protocol"
 )
 
-// How an owner learns what holders know.
+// The feeds of the holders, as an owner follows them.
 
-func (o *Owner) follow(name string, h HolderCaller) {
-	var inc, since uint64
+// followFeed requests the news of a holder again and again and applies them, until the context ends.
+func (o *Owner) followFeed(name string, h HolderCaller) {
+	var incarnation, since uint64
 	for o.ctx.Err() == nil {
 		var a FeedArgs
 		if !o.ask(o.ctx, func() {
 			a = FeedArgs{Caller: o.cfg.Name, Fence: protocol.NewToken(o.session.Term(), o.peers[name].fence),
-				Incarnation: inc, Since: since, WaitMs: o.cfg.SummaryEvery.Milliseconds()}
+				Incarnation: incarnation, Since: since, WaitMs: o.cfg.SummaryEvery.Milliseconds()}
 			if w := o.window(); w != nil {
 				a.Window = w.Number
 			}
@@ -30,7 +31,7 @@
 		var r board.News
 		sent := time.Now()
 		if err := h.Feed(o.ctx, a, &r); err != nil {
-			slog.Debug("no feed", "holder", name, "err", err)
+			slog.Debug("feed request failed", "holder", name, "err", err)
 			o.tell(func() { o.peers[name].valid = false })
 			pause(o.ctx, 300*time.Millisecond)
 			continue
@@ -38,24 +39,26 @@
 		if name != o.cfg.Name && (r.Stray.Machine != "" || !r.TellsStrays) {
 			o.misrouted(r.Stray, r.TellsStrays, time.Now())
 		}
-		// The actor may do it after a controller that ends has stopped waiting: nothing is shared with it.
-		if taken, _ := askFor(o.ctx, &o.actor, func() bool { return o.feed(name, &a, &r, sent) }); !taken {
+		// The actor may run the function after followFeed has stopped waiting (its controller ends), so the
+		// two share no variable.
+		if applied, _ := askFor(o.ctx, &o.actor, func() bool { return o.applyNews(name, &a, &r, sent) }); !applied {
 			pause(o.ctx, notEntitledPause)
 			continue
 		}
-		inc, since = r.Incarnation, r.Version
+		incarnation, since = r.Incarnation, r.Version
 		pause(o.ctx, 20*time.Millisecond)
 	}
 }
 
-// notEntitledPause is how long a holder that is not entitled to its slots is left alone: one of a
-// version that tells its news all the same has always some, since none of them are taken in.
+// notEntitledPause is the pause before the next request to a holder that is not entitled to its slots. A
+// holder of an older version sends news even so; since they are not applied, it always has some to send.
 const notEntitledPause = 300 * time.Millisecond
 
-// feed takes in a holder's reply to a request that was sent at the time. It reports whether it did: what
-// a holder says that is not entitled to its slots any more may be long untrue, since others may hold
-// them and have started tasks there. (It goes on saying so until it hears that its session ended.)
-func (o *Owner) feed(name string, a *FeedArgs, r *board.News, sent time.Time) (taken bool) {
+// applyNews applies the reply of a holder to a request sent at the given time. It reports whether it did: the
+// news of a holder that is no longer entitled to its slots may be outdated, since other holders may hold the
+// slots and have started tasks there. Such a holder goes on sending news until it learns that its session
+// ended.
+func (o *Owner) applyNews(name string, a *FeedArgs, r *board.News, sent time.Time) (applied bool) {
 	p := o.peers[name]
 	p.valid, p.heard = r.Valid, time.Now()
 	if r.ServedMs > 0 {
@@ -66,7 +69,7 @@
 	}
 	p.incarnation, p.version, p.fed = r.Incarnation, r.Version, a.Fence.Term()
 	if w := o.window(); o.latest != nil && r.Window == o.latest.Number && w != nil && w.Number < r.Window {
-		o.obey(o.latest) // the holder obeys it already and refuses older ones
+		o.adoptWindow(o.latest) // the holder has adopted it and refuses requests under older ones
 	}
 	kept := r.Machines[:0]
 	for _, m := range r.Machines {
@@ -78,34 +81,34 @@
 	for i := range r.Machines {
 		o.noteFailures(&r.Machines[i])
 	}
-	o.touched(o.board.Apply(name, r, sent, time.Now()))
+	o.markStale(o.board.Apply(name, r, sent, time.Now()))
 	o.roomCame(r.Machines)
 	o.dirty = true
 	for at, ps := range o.quotas.orphanedStarts {
-		if o.resolved(ps, name, a, r) {
+		if o.startResolved(ps, name, a, r) {
 			delete(o.quotas.orphanedStarts, at)
 		}
 	}
 	for id, js := range o.unclear {
 		for i, ps := range js.pending {
-			if o.resolved(ps, name, a, r) {
+			if o.startResolved(ps, name, a, r) {
 				delete(js.pending, i)
 				js.stale = true
 			}
 		}
-		if js.allSettled() {
+		if js.allPriorStartsKnown() {
 			if len(js.pending) == 0 {
 				delete(o.unclear, id)
 			}
 		} else if js.known.Before(sent) {
-			o.settles(js, a, r)
+			o.noteCompleteSlots(js, a, r)
 		}
 	}
 	return true
 }
 
-// touched notes of which jobs the board shows something new.
-func (o *Owner) touched(jobs map[string]bool) {
+// markStale marks the jobs for which the board shows changes.
+func (o *Owner) markStale(jobs map[string]bool) {
 	for id := range jobs {
 		if js := o.active[id]; js != nil {
 			js.stale = true
@@ -114,24 +117,23 @@
 	}
 }
 
-// resolved tells whether a start that was asked for shows on the board by
-// now, or never will.
-func (o *Owner) resolved(ps *pendingStart, name string, a *FeedArgs, r *board.News) bool {
+// startResolved reports whether the board shows a requested start by now, or surely never will.
+func (o *Owner) startResolved(ps *pendingStart, name string, a *FeedArgs, r *board.News) bool {
 	s := o.board.Slots[ps.slot]
 	if s != nil && s.Term > ps.term && s.Complete {
-		return true // a new holder knows all that is there
+		return true // a new holder knows every task that is there
 	}
-	if name != ps.holder || !o.shown(ps, name, r.Incarnation, r.Version) {
+	if name != ps.holder || !o.outcomeShown(ps, name, r.Incarnation, r.Version) {
 		return false
 	}
-	// Outcome unknown: void once the holder has promised so, unless shown.
+	// A start of unknown outcome is void once the holder has promised to refuse the request, unless the board
+	// shows it.
 	return ps.acked || ps.unknown && a.Fence > ps.id
 }
 
-// shown tells whether the holder's news, of a time when it still held the
-// machine, covers what it said of the start. A holder that takes a start on
-// and then gives the slot up never shows it: only its successor will.
-func (o *Owner) shown(ps *pendingStart, name string, incarnation, version uint64) bool {
+// outcomeShown reports whether news that the holder sent while it still held the slot cover its answer to the
+// start. A holder that accepts a start and then gives the slot up never shows it; only its successor will.
+func (o *Owner) outcomeShown(ps *pendingStart, name string, incarnation, version uint64) bool {
 	s := o.board.Slots[ps.slot]
 	if s == nil || s.Holder != name || s.Term != ps.term || s.Version != version {
 		return false
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -72,11 +72,11 @@
 type holderPeer struct{ *transport.Peer }
 
 func (p holderPeer) Promise(ctx context.Context, a PromiseArgs, reply *PromiseReply) error {
-	return p.Call(ctx, membership.RequestTimeout, rpcName+".Promise", a, reply)
+	return p.Call(ctx, membership.RequestTimeout, holderServiceName+".Promise", a, reply)
 }
 
 func (p holderPeer) Owed(ctx context.Context, a OwedArgs, reply *OwedReply) error {
-	return p.Call(ctx, membership.RequestTimeout, rpcName+".Owed", a, reply)
+	return p.Call(ctx, membership.RequestTimeout, holderServiceName+".Owed", a, reply)
 }
 
 // Owed answers a controller that has just started.
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -31,8 +31,8 @@
 	}
 	var next *board.Instance
 	for index, list := range o.board.Tasks[s.ID] {
-		sh := js.shareOf(index)
-		if sh == nil || !sh.settled {
+		sh := js.ownedBlockOf(index)
+		if sh == nil || !sh.priorStartsKnown {
 			return
 		}
 		var held, on *board.Instance
--- a/internal/coordination/moves_test.go
+++ b/internal/coordination/moves_test.go
@@ -65,16 +65,16 @@
 			w.start("c1")
 		}},
 		{name: "a controller is cut off from its siblings", strikes: func(w *world, _ string, _ []string) {
-			w.cut([]string{"c1", "from", "siblings"})
+			w.cutController([]string{"c1", "from", "siblings"})
 			time.Sleep(20 * time.Second)
-			w.cut([]string{"off"})
+			w.cutController([]string{"off"})
 		}},
 		{name: "urgent work comes and takes all room", strikes: func(w *world, _ string, _ []string) {
-			w.meanwhile("submit", []string{"wk-90", "array", "40", "urgency=critical", "run=10s", "types=small"})
+			w.stepInBackground("submit", []string{"wk-90", "array", "40", "urgency=critical", "run=10s", "types=small"})
 		}},
 		{name: "all but one are cancelled", strikes: func(w *world, _ string, stay []string) {
 			for _, id := range stay[1:] {
-				w.meanwhile("cancel", []string{id})
+				w.stepInBackground("cancel", []string{id})
 			}
 		}},
 	} {
@@ -101,7 +101,7 @@
 
 func moveAmid(t *testing.T, strikes func(*world, string, []string), at time.Duration) {
 	w := newWorld(t, 3, "", "")
-	defer w.end()
+	defer w.close()
 	for k := range 12 {
 		if err := w.submit([]string{fmt.Sprintf("wk-%d", 10+k), "service", "1", "types=small", "cores=4", "ram=8"}); err != nil {
 			t.Fatal(err)
@@ -131,7 +131,7 @@
 	}
 	before, gone := w.machinesUp(), make(chan string, 100)
 	w.em.Rules(func(*history.Checker) { // on the goroutine that calls it
-		w.watch = func(e history.Event) {
+		w.onEvent = func(e history.Event) {
 			if id, _, _ := strings.Cut(e.Task, "/"); e.Kind == history.Off && !cancelled[id] && e.Cause == "halted" {
 				select {
 				case gone <- e.Machine:
@@ -152,7 +152,7 @@
 	for _, id := range stay {
 		var on map[int]string
 		w.em.Rules(func(r *history.Checker) { on = r.Machines(id) })
-		if _, st := w.ask("GET", "/v1/jobs/"+id, nil); st.Status == protocol.Cancelled {
+		if _, st := w.askUntilAnswered("GET", "/v1/jobs/"+id, nil); st.Status == protocol.Cancelled {
 			over++
 		} else if len(on) != 1 {
 			t.Errorf("%s is on %v", id, on)
--- a/internal/coordination/operators.go
+++ b/internal/coordination/operators.go
@@ -9,13 +9,13 @@
 	"daledyke/internal/transport"
 )
 
-// What operators ask of a controller.
+// Requests of operators.
 
-// viewWithin bounds how long a part of the controller is waited for.
-const viewWithin = time.Second
+// viewTimeout bounds the wait for one actor of the controller.
+const viewTimeout = time.Second
 
-// Overview sums up what this controller knows. What does not answer in time is
-// named and left out.
+// Overview summarises the state of this controller. Actors that do not answer in time are listed as busy and
+// left out.
 func (k *Controller) Overview(ctx context.Context) *protocol.Overview {
 	now := time.Now()
 	v := &protocol.Overview{Controller: k.cfg.Name, Zone: k.cfg.Zone, UpS: *seconds(now.Sub(k.started)), Generation: bookkeeping.Generation,
@@ -23,9 +23,9 @@
 		State:   clientView(&k.state.Counts), Cloud: clientView(&k.leader.cloud.Counts)}
 	v.State.Changes = k.store.Changes()
 	var owner, holder, leader bool
-	v.OwnerView, owner = view(ctx, &k.owner.actor, k.owner.overview)
-	v.Holds, holder = view(ctx, &k.holder.actor, k.holder.overview)
-	v.Leader, leader = view(ctx, &k.leader.actor, func() string {
+	v.OwnerView, owner = askWithTimeout(ctx, &k.owner.actor, k.owner.overview)
+	v.Holds, holder = askWithTimeout(ctx, &k.holder.actor, k.holder.overview)
+	v.Leader, leader = askWithTimeout(ctx, &k.leader.actor, func() string {
 		if k.leader.leader == nil {
 			return ""
 		}
@@ -42,10 +42,10 @@
 	return v
 }
 
-// JobView tells operators how a job stands, as far as this controller knows;
-// nil if it knows nothing of it.
+// JobView returns the view of a job for operators, as far as this controller knows it; nil if it does not
+// know the job.
 func (k *Controller) JobView(ctx context.Context, id string) (*protocol.JobView, error) {
-	v, ok := view(ctx, &k.owner.actor, func() *protocol.JobView {
+	v, ok := askWithTimeout(ctx, &k.owner.actor, func() *protocol.JobView {
 		js := k.owner.jobs[id]
 		if js == nil {
 			return nil
@@ -54,15 +54,15 @@
 		return &v
 	})
 	if !ok {
-		return nil, ErrLater
+		return nil, ErrRetryLater
 	}
 	return v, nil
 }
 
-// view asks a part of the controller for what it shows, for no longer than
-// viewWithin.
-func view[T any](ctx context.Context, a *actor, f func() T) (T, bool) {
-	ctx, cancel := context.WithTimeout(ctx, viewWithin)
+// askWithTimeout runs f on an actor and returns its result; false if the actor did not answer within
+// viewTimeout.
+func askWithTimeout[T any](ctx context.Context, a *actor, f func() T) (T, bool) {
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	return askFor(ctx, a, f)
 }
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -123,7 +123,7 @@
 	// all those that it needs are done.
 	known, ready time.Time
 	// shares are the blocks of its tasks that are ours to place, in their order.
-	shares []*share
+	shares []*ownedBlock
 	// gain is the window since which we own the job itself without a break, 0 if we
 	// don't: its owner, who has its first block, records its results and ends it.
 	gain    uint64
@@ -175,7 +175,7 @@
 func (o *Owner) Run() {
 	for name, h := range o.holders {
 		o.peers[name] = &peerState{}
-		go o.follow(name, h)
+		go o.followFeed(name, h)
 	}
 	o.loop(100*time.Millisecond, o.tick)
 }
@@ -188,7 +188,7 @@
 		o.jobs[id] = js
 		if !j.Final() {
 			o.active[id] = js
-			o.settle(js)
+			o.updateOwnedBlocks(js)
 		}
 	}
 	js.job, js.stale = j, true
@@ -244,7 +244,7 @@
 	o.gone.add(id)
 	touched := map[string]bool{}
 	o.board.Remove(id, touched)
-	o.touched(touched)
+	o.markStale(touched)
 	for at, ps := range o.quotas.orphanedStarts {
 		if ps.machine == id {
 			delete(o.quotas.orphanedStarts, at)
@@ -270,13 +270,13 @@
 func (o *Owner) tick() {
 	now := time.Now()
 	if o.latest != nil && (o.window() == nil || o.latest.Number > o.window().Number) && now.UnixMilli() >= o.latest.StartMs {
-		o.obey(o.latest)
+		o.adoptWindow(o.latest)
 	}
-	o.learnBorn()
+	o.learnNewJobRevision()
 	o.archive()
 	if now.Sub(o.judged) >= time.Second {
 		o.judged = now
-		o.touched(o.board.DropLost(now))
+		o.markStale(o.board.DropLost(now))
 		o.judgeJobs(now)
 		o.lookUp()
 		o.tellStandstill(now)
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -153,7 +153,7 @@
 	if t == nil || !t.Limits(js.job.Spec.Need()) {
 		return t != nil
 	}
-	if o.bornBy(js.gain) == 0 {
+	if o.newJobRevision(js.gain) == 0 {
 		return false // not everything that runs is known yet
 	}
 	if o.barred(js, t.Name) {
@@ -242,13 +242,13 @@
 // nor begun.
 func (js *jobState) tasksLeft(yield func(int) bool) {
 	for _, sh := range js.shares {
-		if !sh.settled || sh.left <= 0 {
+		if !sh.priorStartsKnown || sh.missing <= 0 {
 			continue
 		}
-		for sh.low < sh.to && js.job.TaskDone(sh.low) {
-			sh.low++
+		for sh.doneBefore < sh.end && js.job.TaskDone(sh.doneBefore) {
+			sh.doneBefore++
 		}
-		for index := sh.low; index < sh.to; index++ {
+		for index := sh.doneBefore; index < sh.end; index++ {
 			if !yield(index) {
 				return
 			}
--- a/internal/coordination/production_test.go
+++ b/internal/coordination/production_test.go
@@ -91,7 +91,7 @@
 	someDrain  = DrainArgs{Caller: "c1", Wish: 99, Machines: []string{"host-000001"}}
 )
 
-func TestWhatSiblingsInProductionSend(t *testing.T) {
+func TestDecodeProductionMessages(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production-rpc.gob")
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestWhatSiblingsInProductionRead(t *testing.T) {
+func TestProductionDecodesCurrentMessages(t *testing.T) {
 	var b bytes.Buffer
 	e, d := gob.NewEncoder(&b), gob.NewDecoder(&b)
 	var reply productionReply
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -90,7 +90,7 @@
 func (o *Owner) borrow(now time.Time) {
 	for id, js := range o.quotas.withPermits {
 		for index, p := range js.permits {
-			if !js.mine(index) || p.term != o.session.Term() || now.After(p.expires) {
+			if !js.owns(index) || p.term != o.session.Term() || now.After(p.expires) {
 				delete(js.permits, index)
 				js.wantAt = now.Add(permitBackoff)
 			}
@@ -174,7 +174,7 @@
 		}
 		for _, attempt := range want.Attempts {
 			_, index, ok := protocol.SplitTask(attempt.Task)
-			if !ok || !granted[attempt] || js.pending[index] != nil || !js.mine(index) {
+			if !ok || !granted[attempt] || js.pending[index] != nil || !js.owns(index) {
 				continue
 			}
 			if js.permits == nil {
@@ -188,7 +188,7 @@
 	}
 	for _, task := range reply.Yield {
 		job, index, _ := protocol.SplitTask(task)
-		if js := o.active[job]; js != nil && js.mine(index) && len(o.quotas.yielding) < 10_000 {
+		if js := o.active[job]; js != nil && js.owns(index) && len(o.quotas.yielding) < 10_000 {
 			o.quotas.yielding[task] = true
 			o.dirty = true
 		}
@@ -201,7 +201,7 @@
 		delete(o.quotas.yielding, task)
 		job, index, _ := protocol.SplitTask(task)
 		js := o.active[job]
-		if js == nil || !js.mine(index) {
+		if js == nil || !js.owns(index) {
 			continue
 		}
 		s := js.job.Spec
--- a/internal/coordination/quota_view.go
+++ b/internal/coordination/quota_view.go
@@ -87,9 +87,9 @@
 	if k.quotas.Load() == nil {
 		return nil, errNoQuotas
 	}
-	shown, ok := view(ctx, &k.owner.actor, func() *protocol.QuotaView { return k.owner.quotaView(maxAccounts) })
+	shown, ok := askWithTimeout(ctx, &k.owner.actor, func() *protocol.QuotaView { return k.owner.quotaView(maxAccounts) })
 	if !ok {
-		return nil, ErrLater
+		return nil, ErrRetryLater
 	}
 	return shown, nil
 }
@@ -125,7 +125,7 @@
 		outcome.Refused = err.Error()
 		return outcome, nil
 	}
-	plan, ok := view(ctx, &k.owner.actor, func() (p quota.Plan) {
+	plan, ok := askWithTimeout(ctx, &k.owner.actor, func() (p quota.Plan) {
 		var work []quota.Workload
 		for _, team := range next.Teams() {
 			work = append(work, k.owner.runningWorkloads(team, time.Now())...)
@@ -133,7 +133,7 @@
 		return quota.Shrink(next, work)
 	})
 	if !ok {
-		return outcome, ErrLater
+		return outcome, ErrRetryLater
 	}
 	outcome.Shrinks, outcome.Over = plan.ByAccount(), plan.OverLimit
 	if c.DryRun {
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -105,12 +105,12 @@
 // authority returns the authority of a team, or nil if this controller is not the authority or does not know
 // yet of every task that may be running.
 func (o *Owner) authority(team string) *quota.Authority {
-	gain := o.gainOf(protocol.RingToken(team))
+	gain := o.tokenGainWindow(protocol.RingToken(team))
 	if gain == 0 || !o.quotas.tree.HasTeam(team) {
 		delete(o.quotas.authorities, team)
 		return nil
 	}
-	if o.bornBy(gain) == 0 || len(o.quotas.unknownJobs) > 0 || !o.session.Valid() {
+	if o.newJobRevision(gain) == 0 || len(o.quotas.unknownJobs) > 0 || !o.session.Valid() {
 		return nil
 	}
 	a := o.quotas.authorities[team]
@@ -167,7 +167,7 @@
 
 // boardFreshness describes how recent the board is.
 func (o *Owner) boardFreshness() quota.Freshness {
-	ownersSince := o.presentSince()
+	ownersSince := o.ownersUnchangedSince()
 	freshness := quota.Freshness{OwnersSince: ownersSince, Adopted: o.board.AllComplete(o.slots, ownersSince)}
 	for n := range o.slots {
 		b := o.board.Slots[n]
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -10,55 +10,56 @@
 	"daledyke/internal/protocol"
 )
 
-// Which jobs are an owner's, and since when.
-
-// Place is where a job stands on the ring. One that takes of what its team is limited in
-// stands, whole, where the team's name does, so that one controller grants all that the team
-// may use (invariant 7). What takes nothing of it needs no grant: where every team had a limit
-// of GPUs all work stood at six places, also what takes none.
-func Place(c *config.Config, s *protocol.JobSpec) bookkeeping.Seat {
-	t, joint := c.Team(s.Team), protocol.RingToken(s.Team)
+// The jobs and blocks of tasks that an owner owns, and the windows since which it owns them.
+
+// SeatFor returns the position of a job on the ring. A job that uses a resource in which its team is limited
+// is placed as a whole at the position of the team, so that one controller grants everything that the team
+// may use (invariant 7). A job that uses no such resource needs no grant and is placed by its id: when such
+// jobs stood at the position of their team too and every team had a GPU limit, all work stood at six
+// positions, including work without GPUs.
+func SeatFor(c *config.Config, s *protocol.JobSpec) bookkeeping.Seat {
+	t, teamToken := c.Team(s.Team), protocol.RingToken(s.Team)
 	if t != nil && t.Limits(s.Need()) {
-		return bookkeeping.Seat{Token: joint, Blocks: 1}
+		return bookkeeping.Seat{Token: teamToken, Blocks: 1}
 	}
-	return bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s), Joint: t != nil && t.Limited(), JointToken: joint}
+	return bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s), Joint: t != nil && t.Limited(), JointToken: teamToken}
 }
 
-// tenure is a time for which blocks of a job are this controller's without a break.
-type tenure struct {
-	// gain is the window that it began with.
-	gain uint64
-	// settled: all that may be left of former owners' starts is known; until then seen are
-	// the slots that were seen complete since the gain.
-	settled bool
-	seen    map[int]bool
+// ownership is a period during which this controller owns blocks of a job without interruption.
+type ownership struct {
+	// gainWindow is the window with which the period began.
+	gainWindow uint64
+	// priorStartsKnown: every task that may still be left from starts of former owners is known. Until then,
+	// completeSlots are the slots that were seen complete since the gain.
+	priorStartsKnown bool
+	completeSlots    map[int]bool
 }
 
-// share is a block of a job's tasks that is this controller's to place.
-type share struct {
-	block    int
-	from, to int // its tasks: from the first up to, not with, the second
-	*tenure
-	// left is how many of its tasks reconciling last found neither done nor begun nor asked
-	// for, and low a task before which all are done.
-	left, low int
+// ownedBlock is a block of the tasks of a job that this controller places.
+type ownedBlock struct {
+	block      int
+	first, end int // its tasks, end excluded
+	*ownership
+	// missing is how many tasks of the block the last reconciliation found neither done nor started nor
+	// requested. All tasks before doneBefore are done.
+	missing, doneBefore int
 }
 
-// shareOf is the share that a task is in, nil if it is not ours.
-func (js *jobState) shareOf(index int) *share {
+// ownedBlockOf returns the owned block that holds a task, nil if this controller does not own the task.
+func (js *jobState) ownedBlockOf(index int) *ownedBlock {
 	if len(js.shares) == 0 {
 		return nil
 	}
 	block := js.job.BlockOf(index)
-	at, found := slices.BinarySearchFunc(js.shares, block, func(s *share, block int) int { return cmp.Compare(s.block, block) })
+	at, found := slices.BinarySearchFunc(js.shares, block, func(s *ownedBlock, block int) int { return cmp.Compare(s.block, block) })
 	if !found {
 		return nil
 	}
 	return js.shares[at]
 }
 
-// mine tells whether a task is this controller's to place.
-func (js *jobState) mine(index int) bool { return js.shareOf(index) != nil }
+// owns reports whether this controller places a task.
+func (js *jobState) owns(index int) bool { return js.ownedBlockOf(index) != nil }
 
 func (o *Owner) window() *bookkeeping.Window {
 	if len(o.windows) == 0 {
@@ -70,21 +71,20 @@
 func (o *Owner) windowChanged(w *bookkeeping.Window) {
 	if o.latest == nil || w.Number > o.latest.Number {
 		if o.latest != nil && (o.window() == nil || o.latest.Number > o.window().Number) {
-			o.obey(o.latest) // it was superseded before it began here
+			o.adoptWindow(o.latest) // it was superseded before it was adopted here
 		}
 		o.latest = w
 	}
 }
 
-// obey adopts a window and works out which jobs are ours, since when.
-func (o *Owner) obey(w *bookkeeping.Window) {
+// adoptWindow adopts a window and determines which blocks this controller owns and since when.
+func (o *Owner) adoptWindow(w *bookkeeping.Window) {
 	cur := o.window()
 	if cur != nil && w.Number != cur.Number+1 {
-		o.windows = nil // what happened in between is not known
+		o.windows = nil // the windows between are unknown
 	}
 	if n := len(o.windows); n > 0 && o.windows[n-1].SameOwners(w) {
-		// Nothing changes hands: keep the first of equal windows as well,
-		// since it is the one that gains count from.
+		// No owner changes. The first of several equal windows is kept too, since gains are counted from it.
 		if n > 1 && o.windows[n-2].SameOwners(w) {
 			o.windows[n-1] = w
 		} else {
@@ -97,20 +97,20 @@
 		o.windows = slices.Clone(o.windows[len(o.windows)-16:])
 	}
 	for _, js := range o.active {
-		o.settle(js)
+		o.updateOwnedBlocks(js)
 	}
 	o.dirty = true
 }
 
-// gainOf is the number of the window since which a token is ours without a
-// break, 0 if it isn't.
-func (o *Owner) gainOf(token int64) uint64 {
-	return o.since(func(w *bookkeeping.Window) bool { return w.Owner(token) == o.cfg.Name })
+// tokenGainWindow returns the number of the window since which this controller owns a token without
+// interruption, 0 if it does not own it.
+func (o *Owner) tokenGainWindow(token int64) uint64 {
+	return o.unbrokenSince(func(w *bookkeeping.Window) bool { return w.Owner(token) == o.cfg.Name })
 }
 
-// since is the number of the first of the windows in a row, up to the present one, for
-// which something holds; 0 if it doesn't hold now.
-func (o *Owner) since(holds func(*bookkeeping.Window) bool) uint64 {
+// unbrokenSince returns the number of the first window of the unbroken run up to the current one for which a
+// condition holds, 0 if it does not hold now.
+func (o *Owner) unbrokenSince(holds func(*bookkeeping.Window) bool) uint64 {
 	since := uint64(0)
 	for i := len(o.windows) - 1; i >= 0 && holds(o.windows[i]); i-- {
 		since = o.windows[i].Number
@@ -118,98 +118,98 @@
 	return since
 }
 
-// settle brings up to date which blocks of a job are ours, and since when.
-func (o *Owner) settle(js *jobState) {
-	var shares []*share
-	begun := map[uint64]*tenure{} // blocks that are gained together share one
+// updateOwnedBlocks determines which blocks of a job this controller owns, and since when.
+func (o *Owner) updateOwnedBlocks(js *jobState) {
+	var blocks []*ownedBlock
+	gained := map[uint64]*ownership{} // blocks gained in the same window share one
 	changed := false
 	for block := range max(1, js.job.Blocks) {
-		gain := o.since(func(w *bookkeeping.Window) bool { return w.OwnerOfBlock(js.job, block) == o.cfg.Name })
-		from, to := js.job.Block(block)
-		old := js.shareOf(from)
+		gain := o.unbrokenSince(func(w *bookkeeping.Window) bool { return w.OwnerOfBlock(js.job, block) == o.cfg.Name })
+		first, end := js.job.Block(block)
+		old := js.ownedBlockOf(first)
 		switch {
 		case gain == 0:
 			changed = changed || old != nil
-		case old != nil && (gain == old.gain || gain > old.gain && len(o.windows) > 1):
-			shares = append(shares, old) // unchanged, or only the memory of windows was cut
+		case old != nil && (gain == old.gainWindow || gain > old.gainWindow && len(o.windows) > 1):
+			blocks = append(blocks, old) // unchanged, or only older windows were dropped from memory
 		default:
 			changed = true
-			if begun[gain] == nil {
-				born := o.bornBy(gain)
-				begun[gain] = &tenure{gain: gain, seen: map[int]bool{}, settled: born != 0 && js.job.Created > born}
+			if gained[gain] == nil {
+				revision := o.newJobRevision(gain)
+				gained[gain] = &ownership{gainWindow: gain, completeSlots: map[int]bool{}, priorStartsKnown: revision != 0 && js.job.Created > revision}
 			}
-			if !begun[gain].settled {
+			if !gained[gain].priorStartsKnown {
 				o.unclear[js.job.Spec.ID] = js
 			}
-			shares = append(shares, &share{block: block, from: from, to: to, tenure: begun[gain], low: from})
+			blocks = append(blocks, &ownedBlock{block: block, first: first, end: end, ownership: gained[gain], doneBefore: first})
 		}
 	}
 	if !changed {
 		return
 	}
-	js.shares, js.gain, js.stale = shares, 0, true
-	if len(shares) > 0 && shares[0].block == 0 {
-		js.gain = shares[0].gain
+	js.shares, js.gain, js.stale = blocks, 0, true
+	if len(blocks) > 0 && blocks[0].block == 0 {
+		js.gain = blocks[0].gainWindow
 	}
 }
 
-// allSettled tells whether all that may run of a job's blocks that are ours is known.
-func (js *jobState) allSettled() bool {
-	return !slices.ContainsFunc(js.shares, func(s *share) bool { return !s.settled })
+// allPriorStartsKnown reports whether every task that may run in the owned blocks of the job is known.
+func (js *jobState) allPriorStartsKnown() bool {
+	return !slices.ContainsFunc(js.shares, func(s *ownedBlock) bool { return !s.priorStartsKnown })
 }
 
-// settles takes in which slots are known from news that were asked for after the job
-// was known.
-func (o *Owner) settles(js *jobState, a *FeedArgs, r *board.News) {
-	var last *tenure
-	for _, sh := range js.shares {
-		if sh.settled || sh.tenure == last { // those gained together are mostly neighbours
+// noteCompleteSlots records which slots are complete according to news that were requested after the job was
+// known.
+func (o *Owner) noteCompleteSlots(js *jobState, args *FeedArgs, news *board.News) {
+	var last *ownership
+	for _, owned := range js.shares {
+		if owned.priorStartsKnown || owned.ownership == last { // blocks gained in the same window are mostly adjacent
 			continue
 		}
-		last = sh.tenure
-		for _, s := range r.Slots {
-			if s.Complete && r.Window >= sh.gain && a.Fence.Term() == o.session.Term() && o.board.Shows(&s) {
-				sh.seen[s.Slot] = true
+		last = owned.ownership
+		for _, s := range news.Slots {
+			if s.Complete && news.Window >= owned.gainWindow && args.Fence.Term() == o.session.Term() && o.board.Shows(&s) {
+				owned.completeSlots[s.Slot] = true
 			}
 		}
-		if sh.settled = len(sh.seen) >= o.slots; sh.settled {
+		if owned.priorStartsKnown = len(owned.completeSlots) >= o.slots; owned.priorStartsKnown {
 			js.stale = true
 		}
 	}
 }
 
-// presentSince is the first window in a row with the present owners, 0 if
-// there is none yet.
-func (o *Owner) presentSince() uint64 {
-	return o.since(o.window().SameOwners)
+// ownersUnchangedSince returns the first window of the unbroken run with the current owners, 0 if there is no
+// window yet.
+func (o *Owner) ownersUnchangedSince() uint64 {
+	return o.unbrokenSince(o.window().SameOwners)
 }
 
-// learnBorn finds out from which revision on jobs are surely new to all: all
-// holders had promised to obey only the present owners. It does so for the
-// first window with these owners, since no part of a range was gained later.
-func (o *Owner) learnBorn() {
-	g := o.presentSince()
-	if g == 0 || o.born[g] != 0 || o.asking[g] || !o.board.AllComplete(o.slots, g) {
+// learnNewJobRevision reads the revision after which every created job is new to all controllers, because all
+// holders had promised by then to obey only the current owners. It does so for the first window with these
+// owners, since no part of a range was gained later.
+func (o *Owner) learnNewJobRevision() {
+	window := o.ownersUnchangedSince()
+	if window == 0 || o.born[window] != 0 || o.asking[window] || !o.board.AllComplete(o.slots, window) {
 		return
 	}
-	o.asking[g] = true
+	o.asking[window] = true
 	go func() {
 		rev, err := o.store.Revision(o.ctx)
 		o.tell(func() {
-			delete(o.asking, g)
+			delete(o.asking, window)
 			if err == nil {
 				if len(o.born) > 64 {
 					clear(o.born)
 				}
-				o.born[g] = rev
+				o.born[window] = rev
 			}
 		})
 	}()
 }
 
-// bornBy is a revision after which created jobs are new to everyone, for jobs
-// that are ours since the window given; 0 if none is known yet.
-func (o *Owner) bornBy(gain uint64) uint64 {
+// newJobRevision returns a revision after which created jobs are new to all controllers, for jobs owned since
+// the given window; 0 if none is known yet.
+func (o *Owner) newJobRevision(gain uint64) uint64 {
 	best := uint64(0)
 	for g, rev := range o.born {
 		if g >= gain && (best == 0 || rev < best) {
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -127,17 +127,17 @@
 	j := js.job
 	out.Job = j
 	for _, sh := range js.shares {
-		sh.left = sh.to - sh.from - j.DoneIn(sh.from, sh.to)
+		sh.missing = sh.end - sh.first - j.DoneIn(sh.first, sh.end)
 	}
 	for index := range js.pending {
-		if sh := js.shareOf(index); sh != nil {
-			sh.left--
+		if sh := js.ownedBlockOf(index); sh != nil {
+			sh.missing--
 		}
 	}
 	for index, list := range o.board.Tasks[j.Spec.ID] {
-		sh := js.shareOf(index)
+		sh := js.ownedBlockOf(index)
 		if begun := j.Spec.Shape != protocol.Gang || list[0].Begun(); sh != nil && begun && !j.TaskDone(index) && js.pending[index] == nil {
-			sh.left--
+			sh.missing--
 		}
 		var keep *board.Instance
 		for _, i := range list {
@@ -167,8 +167,8 @@
 	}
 	js.missing = 0
 	for _, sh := range js.shares {
-		if sh.settled {
-			js.missing += sh.left
+		if sh.priorStartsKnown {
+			js.missing += sh.missing
 		}
 	}
 	o.rescue(js, now, rq)
@@ -198,7 +198,7 @@
 		return
 	}
 	for index, list := range o.board.Tasks[s.ID] {
-		if !js.mine(index) {
+		if !js.owns(index) {
 			continue
 		}
 		for _, i := range list {
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -7,7 +7,7 @@
 	"daledyke/internal/protocol"
 )
 
-// What the replica tells the actors.
+// Changes of records: the replica passes them to the actors.
 
 // JobChanged implements bookkeeping.Listener, as do the methods below.
 func (k *Controller) JobChanged(j *bookkeeping.Job) {
@@ -40,12 +40,12 @@
 	k.owner.tell(func() { k.owner.rosters[slot] = s.Roster })
 }
 
-func (k *Controller) RentalBatchChanged(name string, l *bookkeeping.RentalBatch) {
+func (k *Controller) RentalBatchChanged(name string, batch *bookkeeping.RentalBatch) {
 	k.leader.tell(func() {
-		if l == nil {
+		if batch == nil {
 			delete(k.leader.batches, name)
 		} else {
-			k.leader.batches[name] = l
+			k.leader.batches[name] = batch
 		}
 	})
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -132,7 +132,7 @@
 		default:
 			mine[k].acked, mine[k].ackInc, mine[k].version = true, r.Incarnation, r.Version
 			// The feed may have shown it before the answer came.
-			if p := o.peers[name]; o.shown(mine[k], name, p.incarnation, p.version) {
+			if p := o.peers[name]; o.outcomeShown(mine[k], name, p.incarnation, p.version) {
 				delete(js.pending, index)
 			}
 		}
--- a/internal/coordination/scripts.go
+++ b/internal/coordination/scripts.go
@@ -16,12 +16,12 @@
 	"daledyke/internal/transport"
 )
 
-// Batch scripts with PBS directives, at the front door (docs/design-pbs.md).
+// Batch scripts with PBS directives, submitted at the front door (docs/design-pbs.md).
 
 var errNoQueues = errors.New("scripts are not taken here: the operators' settings have no (pbs ...)")
 
-// SubmitScript takes a batch script: it is translated, and goes the way of every
-// submission. The same key is the same job.
+// SubmitScript translates a batch script and submits it like any other job. Submissions with the same key are
+// the same job.
 func (k *Controller) SubmitScript(ctx context.Context, key, options, script string) (status int, answer any) {
 	if len(k.cfg.Queues) == 0 {
 		return http.StatusNotFound, errNoQueues
@@ -33,8 +33,8 @@
 		j, err = pbs.Translate(script, command, k.cfg.Queues, id, time.Now().UTC())
 	}
 	if err != nil {
-		// An accepted job stays so, whatever else is sent under its key.
-		return k.known(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
+		// A job accepted under this key stays accepted, whatever is sent with the key later.
+		return k.answerKnown(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	}
 	body, err := json.Marshal(j.Native(script))
 	if err == nil && len(body) > protocol.MaxBody {
@@ -50,8 +50,7 @@
 	return status, answer
 }
 
-// Script is what a task of a batch job runs, or the script as it was submitted if the
-// task is -1.
+// Script returns the script that a task of a batch job runs, or the script as submitted if task is -1.
 func (k *Controller) Script(ctx context.Context, id string, task int) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
 	defer cancel()
@@ -76,12 +75,11 @@
 	return text, err
 }
 
-// understood tells whether all controllers whose sessions live are of a generation at
-// least.
-func (k *Controller) understood(ctx context.Context, generation int) bool {
-	ok, asked := view(ctx, &k.owner.actor, func() bool {
+// allSupport reports whether all controllers with a live session are of at least the given generation.
+func (k *Controller) allSupport(ctx context.Context, minGeneration int) bool {
+	ok, asked := askWithTimeout(ctx, &k.owner.actor, func() bool {
 		for _, p := range k.owner.peers {
-			if p.generation > 0 && p.generation < generation {
+			if p.generation > 0 && p.generation < minGeneration {
 				return false
 			}
 		}
@@ -90,24 +88,24 @@
 	return asked && ok
 }
 
-// Hold holds a job, or releases it: once, however many ask. What runs of it goes on.
+// Hold holds a job or releases it; repeated requests change nothing more. Running tasks go on.
 func (k *Controller) Hold(ctx context.Context, id string, held bool) (status int, answer any) {
-	if held && !k.understood(ctx, 3) {
-		return http.StatusServiceUnavailable, ErrLater
+	if held && !k.allSupport(ctx, 3) {
+		return http.StatusServiceUnavailable, ErrRetryLater
 	}
 	j, changed, err := k.store.HoldJob(ctx, id, held)
 	switch {
 	case err != nil:
-		return http.StatusServiceUnavailable, ErrLater
+		return http.StatusServiceUnavailable, ErrRetryLater
 	case j == nil:
 		return http.StatusNotFound, errors.New("no such job")
 	}
 	return http.StatusOK, protocol.HoldAnswer{ID: id, Held: j.Held && !j.Final(), Changed: changed, Status: j.State}
 }
 
-// Jobs lists jobs that this controller knows.
+// Jobs lists the jobs that this controller knows and the filter accepts.
 func (k *Controller) Jobs(ctx context.Context, f *protocol.JobFilter) (*protocol.JobList, error) {
-	l, ok := view(ctx, &k.owner.actor, func() *protocol.JobList {
+	list, ok := askWithTimeout(ctx, &k.owner.actor, func() *protocol.JobList {
 		var ids []string
 		for id, js := range k.owner.jobs {
 			if f.Chooses(js.job.Spec, js.job.Final()) {
@@ -115,14 +113,14 @@
 			}
 		}
 		slices.Sort(ids)
-		l := &protocol.JobList{Jobs: []protocol.JobView{}, More: len(ids) > protocol.MaxListed}
+		list := &protocol.JobList{Jobs: []protocol.JobView{}, More: len(ids) > protocol.MaxListed}
 		for _, id := range ids[:min(len(ids), protocol.MaxListed)] {
-			l.Jobs = append(l.Jobs, k.owner.jobView(k.owner.jobs[id], time.Now()))
+			list.Jobs = append(list.Jobs, k.owner.jobView(k.owner.jobs[id], time.Now()))
 		}
-		return l
+		return list
 	})
 	if !ok {
-		return nil, ErrLater
+		return nil, ErrRetryLater
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -24,14 +24,14 @@
 	return transport.NewUsers(w.net.Dialer("user"), doors).SubmitScript(w.t.Context(), key, options, script)
 }
 
-// know has workers know what a script's job is.
-func (w *world) know(key, options, script string) string {
+// uploadScript has workers uploadScript what a script's job is.
+func (w *world) uploadScript(key, options, script string) string {
 	id := pbs.IDOf(key)
 	command, err := pbs.CommandLine(options)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	j, err := pbs.Translate(script, command, w.settings("c0").Queues, id, time.Now().UTC())
+	j, err := pbs.Translate(script, command, w.loadSettings("c0").Queues, id, time.Now().UTC())
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -41,13 +41,13 @@
 
 // A script submitted through a crash of the controller that takes it, and of all, is
 // one job; it runs, its script can be read afterwards, and qdel ends another one.
-func TestScriptsAreTakenOnce(t *testing.T) {
+func TestResubmittedScriptIsOneJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
-		defer w.end()
+		defer w.close()
 		time.Sleep(3 * time.Second)
 		const script = "#!/bin/bash\n#PBS -N frames\n#PBS -J 10-30:10\n#PBS -l ncpus=2\n#PBS -v WHO='it is me'\n./x $PBS_ARRAY_INDEX\n"
-		id := w.know("key-1", "", script)
+		id := w.uploadScript("key-1", "", script)
 		w.crash(w.names...)
 		time.AfterFunc(7*time.Second, func() {
 			w.start(w.names...)
@@ -66,7 +66,7 @@
 			t.Error(err)
 		}
 		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c2:1"})
-		if status, got := w.raw(http.MethodGet, "front-c2/v1/jobs/"+id+"/script", "", nil); status != 200 || got != script {
+		if status, got := w.rawRequest(http.MethodGet, "front-c2/v1/jobs/"+id+"/script", "", nil); status != 200 || got != script {
 			t.Errorf("the script is %q, answer %d", got, status)
 		}
 		_, raw, err := w.call("user", http.MethodGet, "front-c1/v1/jobs/"+id+"/script?pass=2", nil, 3*time.Second)
@@ -76,7 +76,7 @@
 				t.Errorf("no %q in %q, %v", line, raw, err)
 			}
 		}
-		other := w.know("key-2", "-l ncpus=2", "sleep 1\n")
+		other := w.uploadScript("key-2", "-l ncpus=2", "sleep 1\n")
 		if _, err := w.qsub("key-2", "-l ncpus=2", "sleep 1\n"); err != nil {
 			t.Error(err)
 		}
@@ -104,10 +104,10 @@
 func TestHeldJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
-		defer w.end()
+		defer w.close()
 		time.Sleep(3 * time.Second)
 		const script = "#PBS -h -J 0-3\n./x\n"
-		id := w.know("held", "", script)
+		id := w.uploadScript("held", "", script)
 		if _, err := w.qsub("held", "", script); err != nil {
 			t.Fatal(err)
 		}
@@ -150,33 +150,33 @@
 
 // The same work has the same outcome at both doors: status, and the reason if it is
 // refused.
-func TestScriptsAndNativeJobsFareAlike(t *testing.T) {
+func TestScriptsAndNativeJobsGetSameAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free" (cpus 0 16)) (account "free/a" (cpus 0 8) (ram 0 100))`)
-		defer w.end()
+		defer w.close()
 		time.Sleep(3 * time.Second)
 		for k, options := range []string{"", "-l ncpus=8", "-l ncpus=9 -P free/a", "-l ncpus=17", "-l ncpus=64", "-l select=1:ngpus=9", "-P free/a", "-P free/b", "-P free/a -l mem=101gb",
 			"-q bound -l ncpus=8", "-q bound -l ncpus=9", "-q bound -l select=2:ncpus=8", "-l select=3:ncpus=6", "-J 0-99", "-W depend=afterok:999"} {
 			key := fmt.Sprint("fare-", k)
-			status, answer := w.raw(http.MethodPost, "front-c0/pbs/jobs?options="+strings.ReplaceAll(strings.ReplaceAll(options, " ", "+"), "=", "%3D"), "#PBS -N x\n./x\n", http.Header{"Idempotency-Key": {key}})
+			status, answer := w.rawRequest(http.MethodPost, "front-c0/pbs/jobs?options="+strings.ReplaceAll(strings.ReplaceAll(options, " ", "+"), "=", "%3D"), "#PBS -N x\n./x\n", http.Header{"Idempotency-Key": {key}})
 			command, err := pbs.CommandLine(options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			j, err := pbs.Translate("#PBS -N x\n./x\n", command, w.settings("c0").Queues, fmt.Sprint("wk-", 5000+k), time.Now())
+			j, err := pbs.Translate("#PBS -N x\n./x\n", command, w.loadSettings("c0").Queues, fmt.Sprint("wk-", 5000+k), time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
 			body, _ := json.Marshal(j.Spec)
-			native, reason := w.raw(http.MethodPost, "front-c0/v1/jobs", string(body), nil)
+			native, reason := w.rawRequest(http.MethodPost, "front-c0/v1/jobs", string(body), nil)
 			if status != native || status >= 400 && answer != reason {
 				t.Errorf("%q: %d %s, as a native job %d %s", options, status, answer, native, reason)
 			}
 		}
-		if status, _ := w.raw(http.MethodPost, "front-c0/pbs/jobs", "./x\n", nil); status != 400 {
+		if status, _ := w.rawRequest(http.MethodPost, "front-c0/pbs/jobs", "./x\n", nil); status != 400 {
 			t.Errorf("without a key: %d", status)
 		}
-		if status, answer := w.raw(http.MethodPost, "front-c0/pbs/jobs", "#PBS -I\n./x\n", http.Header{"Idempotency-Key": {"i"}}); status != 422 || !strings.Contains(answer, "line 1, column 6: -I") {
+		if status, answer := w.rawRequest(http.MethodPost, "front-c0/pbs/jobs", "#PBS -I\n./x\n", http.Header{"Idempotency-Key": {"i"}}); status != 422 || !strings.Contains(answer, "line 1, column 6: -I") {
 			t.Errorf("refused with %d %s", status, answer)
 		}
 	})
@@ -184,14 +184,14 @@
 
 // A job that is to start at a time does so, though all controllers were away when it
 // came.
-func TestJobsStartAtTheirTime(t *testing.T) {
+func TestJobsStartAtRequestedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
-		defer w.end()
+		defer w.close()
 		time.Sleep(3 * time.Second)
 		const script = "./x\n"
 		options := "-l ncpus=2 -a " + time.Now().UTC().Add(2*time.Minute).Format("200601021504.05")
-		id := w.know("later", options, script)
+		id := w.uploadScript("later", options, script)
 		if _, err := w.qsub("later", options, script); err != nil {
 			t.Fatal(err)
 		}
@@ -213,9 +213,9 @@
 	})
 }
 
-// raw makes one request and gives its status and body.
-func (w *world) raw(method, at, body string, header http.Header) (int, string) {
-	host, path, _ := strings.Cut(at, "/")
+// rawRequest makes one request and gives its status and body.
+func (w *world) rawRequest(method, url, body string, header http.Header) (int, string) {
+	host, path, _ := strings.Cut(url, "/")
 	client := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer("user"), DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+host+":1/"+path, strings.NewReader(body))
 	if err != nil {
--- a/internal/coordination/trace_faults_test.go
+++ b/internal/coordination/trace_faults_test.go
@@ -16,34 +16,34 @@
 
 // Steps of traces that have something fail.
 
-// moreMachinesWithin is for how long a step of a trace waits for as many machines as it strikes.
-const moreMachinesWithin = 30 * time.Second
+// runningMachinesTimeout is for how long a step of a trace waits for as many machines as it strikes.
+const runningMachinesTimeout = 30 * time.Second
 
-// strikeSome has something happen to so many machines that run (0: to all), or ends it for those
+// faultRandomMachines has something happen to so many machines that run (0: to all), or ends it for those
 // that were struck last. Who restarts when decides how many machines that hung for a while are given
 // up: where too few run at the moment, it waits until those that replace them are up.
-func (w *world) strikeSome(count int, trouble emulator.Trouble) error {
+func (w *world) faultRandomMachines(count int, trouble emulator.Trouble) error {
 	switch trouble {
 	case emulator.Hears, emulator.Speaks, emulator.Resumes, emulator.Rejoins:
-		for _, id := range w.some {
+		for _, id := range w.randomMachines {
 			w.em.Strike(id, trouble) // it may have been returned meanwhile
 		}
 		return nil
 	}
-	for waited := time.Duration(0); w.em.Running() < count && waited < moreMachinesWithin; waited += time.Second {
+	for waited := time.Duration(0); w.em.Running() < count && waited < runningMachinesTimeout; waited += time.Second {
 		time.Sleep(time.Second)
 	}
 	anywhere := func(string, bool) bool { return true }
-	w.some = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anywhere)
-	if count > 0 && len(w.some) != count {
-		return fmt.Errorf("%d machines", len(w.some))
+	w.randomMachines = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anywhere)
+	if count > 0 && len(w.randomMachines) != count {
+		return fmt.Errorf("%d machines", len(w.randomMachines))
 	}
 	return nil
 }
 
-// strikeHome has something happen to all machines with tasks whose slots are a controller's if all
+// faultMachinesOf has something happen to all machines with tasks whose slots are a controller's if all
 // controllers are there.
-func (w *world) strikeHome(controller string, trouble emulator.Trouble) error {
+func (w *world) faultMachinesOf(controller string, trouble emulator.Trouble) error {
 	var ids []string
 	w.em.Rules(func(r *history.Checker) {
 		for _, job := range r.Running() {
@@ -65,7 +65,7 @@
 	return failed
 }
 
-func (w *world) cut(args []string) {
+func (w *world) cutController(args []string) {
 	if args[0] == "off" {
 		w.net.Sever(func(string, string) bool { return false })
 		return
@@ -97,15 +97,15 @@
 	})
 }
 
-// strike does something to the machine that a task is on.
-func (w *world) strike(task, how string) error {
+// faultMachineOfTask does something to the machine that a task is on.
+func (w *world) faultMachineOfTask(task, how string) error {
 	job, index, _ := protocol.SplitTask(task)
 	id := ""
 	w.em.Rules(func(r *history.Checker) { id = r.Machines(job)[index] })
 	if ends := emulator.Trouble(how); ends == emulator.Resumes || ends == emulator.Rejoins {
-		w.em.Strike(w.struck[task], ends) // it may have been returned meanwhile
+		w.em.Strike(w.faulted[task], ends) // it may have been returned meanwhile
 		return nil
 	}
-	w.struck[task] = id
+	w.faulted[task] = id
 	return w.em.Strike(id, emulator.Trouble(how))
 }
--- a/internal/coordination/trace_jobs_test.go
+++ b/internal/coordination/trace_jobs_test.go
@@ -23,18 +23,18 @@
 	s := &protocol.JobSpec{ID: args[0], Class: "batch", Team: "free", Shape: map[string]protocol.Shape{"array": protocol.Array,
 		"gang": protocol.Gang, "service": protocol.Service}[args[1]], Priority: "normal", Tasks: tasks, Cores: 4, Accels: 1, RAM: 16,
 		Image: "img", ImageGB: 3, EstimateS: 30}
-	run, apart, mistake := 30*time.Second, time.Duration(0), false
+	run, increment, failsEverywhere := 30*time.Second, time.Duration(0), false
 	for _, a := range args[3:] {
 		key, value, _ := strings.Cut(a, "=")
 		number, _ := strconv.ParseFloat(strings.TrimSuffix(value, "s"), 64)
 		switch key {
 		case "mistake": // fails on every machine
-			mistake = true
+			failsEverywhere = true
 		case "run":
 			run = protocol.Seconds(number)
 			s.EstimateS = number
 		case "apart": // each task runs so much longer than the one before
-			apart = protocol.Seconds(number)
+			increment = protocol.Seconds(number)
 		case "gb": // an image of its own, so large
 			s.Image, s.ImageGB = "img-"+s.ID, number
 		case "cores":
@@ -77,9 +77,9 @@
 			return fmt.Errorf("unknown property %s", key)
 		}
 	}
-	w.upload(s, run, apart, mistake)
-	status, st := w.ask(http.MethodPost, "/v1/jobs", s)
-	w.told(history.Answered, s.ID, status, st.Status)
+	w.upload(s, run, increment, failsEverywhere)
+	status, st := w.askUntilAnswered(http.MethodPost, "/v1/jobs", s)
+	w.noteAnswer(history.Answered, s.ID, status, st.Status)
 	if status != 201 && status != 200 {
 		return fmt.Errorf("answer %d", status)
 	}
@@ -121,7 +121,7 @@
 		got := string(raw)
 		var st protocol.JobStatus
 		json.Unmarshal(raw, &st)
-		w.told(history.Polled, job, status, st.Status)
+		w.noteAnswer(history.Polled, job, status, st.Status)
 		if what[0] == "unknown" && status == 404 || err == nil && strings.Contains(got, `"status":"`+what[0]+`"`) {
 			continue
 		}
@@ -131,15 +131,15 @@
 }
 
 // upload has the workers know a job; a service runs until it is stopped.
-func (w *world) upload(s *protocol.JobSpec, run, apart time.Duration, mistake bool) {
+func (w *world) upload(s *protocol.JobSpec, run, increment time.Duration, failsEverywhere bool) {
 	if s.Shape == protocol.Service {
 		run = 0
 	}
-	w.em.Upload(s, func(index int) time.Duration { return run + time.Duration(index)*apart }, mistake)
+	w.em.Upload(s, func(index int) time.Duration { return run + time.Duration(index)*increment }, failsEverywhere)
 }
 
-// uses is how many CPUs an account's tasks use.
-func (w *world) uses(account string) (cpus float64) {
+// cpusUsed is how many CPUs an account's tasks use.
+func (w *world) cpusUsed(account string) (cpus float64) {
 	w.em.Rules(func(r *history.Checker) { cpus = r.Uses(account).Cores })
 	return cpus
 }
--- a/internal/coordination/trace_records_test.go
+++ b/internal/coordination/trace_records_test.go
@@ -10,8 +10,8 @@
 
 // Steps of traces that change records, as other versions leave them.
 
-// olderRecords takes out of the slots' records what only this version writes.
-func (w *world) olderRecords() error {
+// dropRosters takes out of the slots' records what only this version writes.
+func (w *world) dropRosters() error {
 	return w.em.State.Edit(bookkeeping.Root+"s/", func(key string, value json.RawMessage, lease uint64) ([]protocol.Change, error) {
 		var rec bookkeeping.Slot
 		err := json.Unmarshal(value, &rec)
@@ -20,21 +20,21 @@
 	})
 }
 
-// rewrite changes the values of all keys with a prefix, as the version before chains
+// dropFields changes the values of all keys with a prefix, as the version before chains
 // leaves them: it drops what it doesn't know.
-func (w *world) rewrite(prefix string, drop ...string) error {
+func (w *world) dropFields(prefix string, fields ...string) error {
 	return w.em.State.Edit(bookkeeping.Root+prefix, func(key string, value json.RawMessage, lease uint64) ([]protocol.Change, error) {
 		var rec map[string]any
 		err := json.Unmarshal(value, &rec)
-		for _, field := range drop {
+		for _, field := range fields {
 			delete(rec, field)
 		}
 		return []protocol.Change{{Set: key, Value: rec, Lease: lease}}, err
 	})
 }
 
-// archive puts a job's record where those of jobs long over stand, in a state.
-func (w *world) archive(id, state string) error {
+// archiveRecord puts a job's record where those of jobs long over stand, in a state.
+func (w *world) archiveRecord(id, state string) error {
 	if state == protocol.Cancelled { // as if by its user
 		w.em.Note(history.Event{Kind: history.CancelAsked, Job: id})
 	}
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/trace_test.go
@@ -50,19 +50,19 @@
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { replay(t, file) })
+			synctest.Test(t, func(t *testing.T) { replayTrace(t, file) })
 		})
 	}
 }
 
-func replay(t *testing.T, file string) {
+func replayTrace(t *testing.T, file string) {
 	f, err := os.Open(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	lines := bufio.NewScanner(f)
-	size, coming, accounts := 3, "", ""
+	controllers, nextLimits, accounts := 3, "", ""
 	var w *world
 	for number := 1; lines.Scan(); number++ {
 		words := strings.Fields(lines.Text())
@@ -74,7 +74,7 @@
 			t.Fatalf("line %d: %q is no step of a trace", number, lines.Text())
 		}
 		if words[1] == "controllers" { // before anything else: how many there are
-			if size, err = strconv.Atoi(words[2]); err != nil || w != nil {
+			if controllers, err = strconv.Atoi(words[2]); err != nil || w != nil {
 				t.Fatalf("line %d: %q", number, lines.Text())
 			}
 			continue
@@ -84,32 +84,32 @@
 			continue
 		}
 		if words[1] == "coming" { // before anything else: limits of the state service that the settings announce
-			coming = fmt.Sprintf("next = { value_kb = %s, txn_ops = %s, write_rps = %s }", words[2], words[3], words[4])
+			nextLimits = fmt.Sprintf("next = { value_kb = %s, txn_ops = %s, write_rps = %s }", words[2], words[3], words[4])
 			continue
 		}
 		if w == nil {
-			w = newWorld(t, size, coming, accounts)
-			defer w.end()
+			w = newWorld(t, controllers, nextLimits, accounts)
+			defer w.close()
 		}
-		if wait := at - time.Since(w.since); wait > 0 {
+		if wait := at - time.Since(w.startedAt); wait > 0 {
 			time.Sleep(wait)
 		}
 		if err := w.step(words[1], words[2:]); err != nil {
 			t.Errorf("line %d: %s: %v", number, lines.Text(), err)
 		}
 	}
-	if c, any := w.slowest(); any {
+	if c, found := w.slowestCancellation(); found {
 		t.Logf("the tasks of cancelled jobs were gone within %.2f of their time; last %s, %v after its user was told, %d starts after that",
 			float64(c.Lasted())/float64(cancelWithin), c.Job, c.Lasted().Round(time.Millisecond), c.StartedAfter)
 	}
 }
 
-// storm has many users ask every controller at once: all must be answered in
+// pollStorm has many users ask every controller at once: all must be answered in
 // the two seconds that users wait, by no more than so many requests to the
 // state service.
-func (w *world) storm(path, users, reads string) error {
+func (w *world) pollStorm(path, users, maxReads string) error {
 	n, err1 := strconv.Atoi(users)
-	most, err2 := strconv.Atoi(reads)
+	limit, err2 := strconv.Atoi(maxReads)
 	before := w.em.State.Counts().Requests
 	answers := make(chan error)
 	for _, name := range w.names {
@@ -127,8 +127,8 @@
 	for range n * len(w.names) {
 		failed = errors.Join(failed, <-answers)
 	}
-	if took := w.em.State.Counts().Requests - before; took > most {
-		failed = errors.Join(failed, fmt.Errorf("%d requests to the state service", took))
+	if requests := w.em.State.Counts().Requests - before; requests > limit {
+		failed = errors.Join(failed, fmt.Errorf("%d requests to the state service", requests))
 	}
 	return errors.Join(failed, err1, err2)
 }
@@ -142,8 +142,8 @@
 	return v, err
 }
 
-// meanwhile takes a step beside the trace.
-func (w *world) meanwhile(verb string, args []string) {
+// stepInBackground takes a step beside the trace.
+func (w *world) stepInBackground(verb string, args []string) {
 	go func() {
 		if err := w.step(verb, args); err != nil {
 			w.t.Errorf("%s %v: %v", verb, args, err)
@@ -176,7 +176,7 @@
 	return err
 }
 
-func onOff(args []string) bool { return args[len(args)-1] == "on" }
+func isOn(args []string) bool { return args[len(args)-1] == "on" }
 
 func (w *world) step(verb string, args []string) error {
 	switch verb {
@@ -197,14 +197,14 @@
 		}
 		return failed
 	case "swarm-begins": // the same, and the trace goes on meanwhile
-		w.meanwhile("swarm", args)
+		w.stepInBackground("swarm", args)
 	case "stream": // stream FIRST LAST RUN EVERY: such jobs, one every so often, and the trace goes on meanwhile
 		first, err1 := strconv.Atoi(args[0])
 		last, err2 := strconv.Atoi(args[1])
 		every, err3 := time.ParseDuration(args[3])
 		for n := first; n <= last; n++ {
 			time.AfterFunc(time.Duration(n-first)*every, func() {
-				w.meanwhile("swarm", []string{strconv.Itoa(n), strconv.Itoa(n), args[2]})
+				w.stepInBackground("swarm", []string{strconv.Itoa(n), strconv.Itoa(n), args[2]})
 			})
 		}
 		return errors.Join(err1, err2, err3)
@@ -217,9 +217,9 @@
 			id, run := strconv.Itoa(n), args[2]
 			if (n-first)%4 == 0 {
 				run = args[5]
-				time.AfterFunc(time.Duration(n-first)*every+after, func() { w.meanwhile("cancel", []string{"wk-" + id}) })
+				time.AfterFunc(time.Duration(n-first)*every+after, func() { w.stepInBackground("cancel", []string{"wk-" + id}) })
 			}
-			time.AfterFunc(time.Duration(n-first)*every, func() { w.meanwhile("swarm", []string{id, id, run}) })
+			time.AfterFunc(time.Duration(n-first)*every, func() { w.stepInBackground("swarm", []string{id, id, run}) })
 		}
 		return errors.Join(err1, err2, err3, err4)
 	case "stream-bound", "stream-free": // the same, of jobs of that team that take half of what the bound one may use
@@ -228,7 +228,7 @@
 		every, err3 := time.ParseDuration(args[3])
 		for n := first; n <= last; n++ {
 			time.AfterFunc(time.Duration(n-first)*every, func() {
-				w.meanwhile("submit", []string{fmt.Sprintf("wk-%d", n), "array", "1", "run=" + args[2], "crew=" + strings.TrimPrefix(verb, "stream-")})
+				w.stepInBackground("submit", []string{fmt.Sprintf("wk-%d", n), "array", "1", "run=" + args[2], "crew=" + strings.TrimPrefix(verb, "stream-")})
 			})
 		}
 		return errors.Join(err1, err2, err3)
@@ -241,7 +241,7 @@
 		return err
 	case "cancelled-gone": // cancelled-gone TIME: no task of a cancelled job was on a machine, or started, later than so long after its user was told
 		most, err := time.ParseDuration(args[0])
-		c, any := w.slowest()
+		c, any := w.slowestCancellation()
 		switch {
 		case !any:
 			err = errors.New("nothing was cancelled")
@@ -250,9 +250,9 @@
 		}
 		return err
 	case "begins-submit": // the same as submit, and the trace goes on meanwhile
-		w.meanwhile("submit", args)
+		w.stepInBackground("submit", args)
 	case "begins-cancel": // begins-cancel JOB: its user goes on asking, and the trace goes on meanwhile
-		w.meanwhile("cancel", args)
+		w.stepInBackground("cancel", args)
 	case "window": // window CONTROLLER N: it goes by the window of this number, or a later one
 		v, err := w.overview(args[0])
 		if n, bad := strconv.ParseUint(args[1], 10, 64); err == nil && (bad != nil || v.Window == nil || v.Window.Number < n) {
@@ -261,8 +261,8 @@
 		return err
 	case "cancel":
 		w.em.Note(history.Event{Kind: history.CancelAsked, Job: args[0]})
-		status, st := w.ask(http.MethodPost, "/v1/jobs/"+args[0]+"/cancel", []byte("{}"))
-		w.told(history.CancelTold, args[0], status, st.Status)
+		status, st := w.askUntilAnswered(http.MethodPost, "/v1/jobs/"+args[0]+"/cancel", []byte("{}"))
+		w.noteAnswer(history.CancelTold, args[0], status, st.Status)
 		if status != 200 {
 			return fmt.Errorf("answer %d", status)
 		}
@@ -280,7 +280,7 @@
 			return fmt.Errorf("%d tasks are on machines", on)
 		}
 	case "storm": // storm PATH USERS reads N: so many ask each controller at once
-		return w.storm(args[0], args[1], args[3])
+		return w.pollStorm(args[0], args[1], args[3])
 	case "asked": // asked CONTROLLER PATH STATUS
 		status, _, err := w.call("user", http.MethodGet, "front-"+args[0]+args[1], nil, 2*time.Second)
 		if err != nil || strconv.Itoa(status) != args[2] {
@@ -304,7 +304,7 @@
 		w.em.State.Lag(args[0], lag)
 		return err
 	case "uses": // uses ACCOUNT N: its tasks use N CPUs
-		use := w.uses(args[0])
+		use := w.cpusUsed(args[0])
 		if n, err := strconv.ParseFloat(args[1], 64); err != nil || math.Abs(use-n) > 1e-6 {
 			return fmt.Errorf("uses %v", use)
 		}
@@ -317,7 +317,7 @@
 	case "limit-holds": // limit-holds ACCOUNT N: from now on the account may not use more than that
 		n, err := strconv.ParseFloat(args[1], 64)
 		w.em.Rules(func(r *history.Checker) { r.LimitAccount(args[0], n) })
-		if use := w.uses(args[0]); use > n+1e-6 {
+		if use := w.cpusUsed(args[0]); use > n+1e-6 {
 			return fmt.Errorf("uses %v", use)
 		}
 		return err
@@ -360,7 +360,7 @@
 	case "start":
 		w.start(args...)
 	case "state-outage":
-		w.em.State.Outage(onOff(args))
+		w.em.State.Outage(isOn(args))
 	case "state-slow": // state-slow TIME: its answers take so long, 0s for no more
 		by, err := time.ParseDuration(args[0])
 		w.em.State.Slow(by)
@@ -380,25 +380,25 @@
 		w.em.HoldCommands(share)
 		return err
 	case "reports-kept": // reports-kept on|off: copies of reports are kept, and reach every controller at once when that ends
-		w.em.KeepReports(onOff(args))
+		w.em.KeepReports(isOn(args))
 	case "state-refuses":
-		w.em.State.Refuse(args[0], onOff(args))
+		w.em.State.Refuse(args[0], isOn(args))
 	case "renewals-refused": // renewals-refused CONTROLLER on|off: for the rate, while all else it asks is served
-		w.em.State.Starve(args[0], onOff(args))
+		w.em.State.Starve(args[0], isOn(args))
 	case "older-records": // as a version left them that kept no rosters
-		return w.olderRecords()
+		return w.dropRosters()
 	case "older": // older CONTROLLER: its session is of the version before chains
-		return w.rewrite("m/"+args[0], "gen")
+		return w.dropFields("m/"+args[0], "gen")
 	case "rewritten": // jobs that are over, as the version before chains writes them
-		return w.rewrite("z/", "end", "with")
+		return w.dropFields("z/", "end", "with")
 	case "archived": // archived JOB STATE: its record stands with those long over
-		return w.archive(args[0], args[1])
+		return w.archiveRecord(args[0], args[1])
 	case "boots": // boots FACTOR: machines rented from now on boot so much slower; 0: at once
 		factor, err := strconv.ParseFloat(args[0], 64)
 		w.em.Boots(factor)
 		return err
 	case "cloud-outage":
-		w.em.CloudOutage(onOff(args))
+		w.em.CloudOutage(isOn(args))
 	case "capacity":
 		n, err := strconv.Atoi(args[0])
 		w.em.Capacity(n)
@@ -406,7 +406,7 @@
 	case "cut-zone": // cut-zone ZONE CONTROLLER: the machines of a zone and this controller from all else; cut off ends it
 		w.cutZone(args[0], args[1])
 	case "cut": // cut CONTROLLER from workers|siblings|state+siblings|all, or cut off
-		w.cut(args)
+		w.cutController(args)
 	case "rented": // rented N: no more machines than that so far
 		n, err := strconv.Atoi(args[0])
 		if made := w.em.Made(); made > n {
@@ -414,15 +414,15 @@
 		}
 		return err
 	case "machine": // machine TASK hangs|resumes|dies|sickens|leaves|deafens|holds|hears|mutes|speaks|reboots
-		return w.strike(args[0], args[1])
+		return w.faultMachineOfTask(args[0], args[1])
 	case "machines": // machines N hangs|resumes|deafens|holds|hears|mutes|speaks|isolates|rejoins|reboots: as many of them, drawn by chance, or those that were; 0: all
 		count, err := strconv.Atoi(args[0])
 		if err != nil {
 			return err
 		}
-		return w.strikeSome(count, emulator.Trouble(args[1]))
+		return w.faultRandomMachines(count, emulator.Trouble(args[1]))
 	case "machines-of": // machines-of CONTROLLER mutes|speaks|...: all machines with tasks whose slots are at home there
-		return w.strikeHome(args[0], emulator.Trouble(args[1]))
+		return w.faultMachinesOf(args[0], emulator.Trouble(args[1]))
 	case "echoes": // echoes TIME: copies of all reports come so much later, 0s for no more
 		by, err := time.ParseDuration(args[0])
 		w.em.Echo(by)
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -126,7 +126,7 @@
 		peers: map[string]*peerState{"c1": {}, "c2": {}}, unclear: map[string]*jobState{}, active: map[string]*jobState{}, jobs: map[string]*jobState{}, unmetNeeds: map[kind]unmetNeed{}}
 	o.session.term.Store(1)
 	js := &jobState{job: pendingJob("wk-1"), pending: map[int]*pendingStart{}, known: time.Now().Add(-time.Minute)}
-	js.shares = []*share{{to: 1, tenure: &tenure{gain: 4, seen: map[int]bool{}}}}
+	js.shares = []*ownedBlock{{end: 1, ownership: &ownership{gainWindow: 4, completeSlots: map[int]bool{}}}}
 	o.unclear["wk-1"], o.active["wk-1"], o.jobs["wk-1"] = js, js, js
 	return o, js
 }
@@ -150,13 +150,13 @@
 func TestOnlyTheNewestHolderKnowsASlot(t *testing.T) {
 	o, js := ownerOf(t)
 	asked := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
-	o.feed("c2", asked, newsOf(9, false), time.Now())
-	o.feed("c1", asked, newsOf(5, true), time.Now())
-	if js.shares[0].settled {
+	o.applyNews("c2", asked, newsOf(9, false), time.Now())
+	o.applyNews("c1", asked, newsOf(5, true), time.Now())
+	if js.shares[0].priorStartsKnown {
 		t.Fatal("settled by a former holder's news")
 	}
-	o.feed("c2", asked, newsOf(9, true, seenRunning), time.Now())
-	if !js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
+	o.applyNews("c2", asked, newsOf(9, true, seenRunning), time.Now())
+	if !js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
 		t.Errorf("not settled by the newest holder's, or its task is unknown: %+v", o.board.Tasks)
 	}
 }
@@ -166,17 +166,17 @@
 func TestNewsOfAHolderThatIsNotEntitledAreNotBelieved(t *testing.T) {
 	o, js := ownerOf(t)
 	asked := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
-	if !o.feed("c1", asked, newsOf(5, false, seenRunning), time.Now()) {
+	if !o.applyNews("c1", asked, newsOf(5, false, seenRunning), time.Now()) {
 		t.Fatal("news of an entitled holder are not taken")
 	}
 	stale := newsOf(5, true)
 	stale.Valid, stale.Full = false, true
-	if o.feed("c1", asked, stale, time.Now()) || js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
-		t.Errorf("believed: settled %v, tasks %v", js.shares[0].settled, o.board.Tasks)
+	if o.applyNews("c1", asked, stale, time.Now()) || js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
+		t.Errorf("believed: settled %v, tasks %v", js.shares[0].priorStartsKnown, o.board.Tasks)
 	}
 	stale.Entitled = true // all siblings granted it a moratorium
-	if !o.feed("c1", asked, stale, time.Now()) || !js.shares[0].settled || o.board.Tasks["wk-1"] != nil {
-		t.Errorf("not believed: settled %v, tasks %v", js.shares[0].settled, o.board.Tasks)
+	if !o.applyNews("c1", asked, stale, time.Now()) || !js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"] != nil {
+		t.Errorf("not believed: settled %v, tasks %v", js.shares[0].priorStartsKnown, o.board.Tasks)
 	}
 }
 
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -14,12 +14,13 @@
 	"daledyke/internal/transport"
 )
 
-// What users ask of a controller: submissions, questions and cancellations.
+// Requests of users: submission, status and cancellation.
 
-// ErrLater says that it cannot be decided now; the user should come again.
-var ErrLater = errors.New("cannot be decided now")
+// ErrRetryLater means that the request cannot be decided now and that the user should retry.
+var ErrRetryLater = errors.New("cannot be decided now")
 
-func (k *Controller) answer(s *standing) *protocol.JobStatus {
+// jobStatus renders what is known of a job for users.
+func (k *Controller) jobStatus(s *standing) *protocol.JobStatus {
 	j, running := s.job, s.running
 	done := j.DoneCount()
 	st := &protocol.JobStatus{ID: j.Spec.ID, Status: j.State, Done: &done, Running: &running, Reason: s.reason, StartsInS: s.startsIn}
@@ -34,14 +35,14 @@
 	return st
 }
 
-// Status finds out how a job stands; nil without an error means that it was
-// never accepted. A job that is over stays so: what is known here is enough.
-// Anything else takes a read that begins after the question came, so that no
-// user is told less than another was told before.
+// Status returns the status of a job; nil without an error means that the job was never accepted. The local
+// record of a finished job suffices, since a job never leaves a final state. For any other job a read that
+// begins after the request is needed, so that no user is told an older state than another user was told
+// before.
 func (k *Controller) Status(ctx context.Context, id string) (*protocol.JobStatus, error) {
 	known := k.owner.Known(ctx, id)
 	if known != nil && known.Final() {
-		return k.confirm(ctx, &standing{job: known})
+		return k.confirmedStatus(ctx, &standing{job: known})
 	}
 	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
 	defer cancel()
@@ -51,48 +52,49 @@
 			return nil, err
 		}
 		if !found.Final() && len(found.Spec.Needs) > 0 {
-			return nil, ErrLater // one of those may be cancelled, and it with it
+			return nil, ErrRetryLater // a job that it needs may be cancelled, which cancels it too
 		}
-		return k.confirm(ctx, &standing{job: found})
+		return k.confirmedStatus(ctx, &standing{job: found})
 	}
 	if err := k.reader.Fresh(ctx); err != nil {
 		return nil, err
 	}
 	st := k.owner.Status(ctx, id)
 	if st == nil || st.job.Unclear {
-		// It ended and is no longer kept at hand; or one that it needs did so,
-		// and whether it was cancelled is being looked up.
-		return nil, ErrLater
+		// Either the job ended and is no longer kept in memory, or a job that it needs ended and whether that
+		// one was cancelled is still being looked up.
+		return nil, ErrRetryLater
 	}
-	return k.confirm(ctx, st)
+	return k.confirmedStatus(ctx, st)
 }
 
-// confirm gives a user's answer, unless it says that the job is cancelled and that may not be
-// said yet (membership.MayConfirm, MayTell): from then on its tasks have only so long to live, wherever
-// they are and whoever knows of it. Nor is a job called unfinished that is known to be cancelled by now:
-// another user may have been told so while the question waited for its read.
-func (k *Controller) confirm(ctx context.Context, s *standing) (*protocol.JobStatus, error) {
+// confirmedStatus returns the answer for a user. It refuses with ErrRetryLater while a cancellation may not
+// be confirmed yet (membership.MayConfirm, MayTell): from the confirmation on, the tasks of the job must end
+// within a bounded time, wherever they run and whichever controller knows of them. It also refuses to report
+// a job as unfinished that is known by now to be cancelled: another user may have been told of the
+// cancellation while this request waited for its read.
+func (k *Controller) confirmedStatus(ctx context.Context, s *standing) (*protocol.JobStatus, error) {
 	id := s.job.Spec.ID
 	switch {
 	case s.job.State == protocol.Cancelled:
 		if !k.holder.confirmCancelled(ctx, id) {
-			return nil, ErrLater
+			return nil, ErrRetryLater
 		}
 	case !s.job.Final():
 		if known, ok := askFor(ctx, &k.holder.actor, func() bool { return k.holder.over(id) }); known || !ok {
-			return nil, ErrLater
+			return nil, ErrRetryLater
 		}
 	}
-	return k.answer(s), nil
+	return k.jobStatus(s), nil
 }
 
-// Submit takes a submission: its status code and answer. An id that is known
-// is answered with the job's state, whatever the rest of the body says.
+// Submit handles a submission and returns the status code and the answer. A submission with a known id is
+// answered with the state of that job, whatever the rest of the body contains.
 func (k *Controller) Submit(ctx context.Context, body []byte) (status int, answer any) {
 	id := protocol.PeekID(body)
 	if id != "" {
 		if k.owner.Known(ctx, id) != nil {
-			return k.known(ctx, id, nil)
+			return k.answerKnown(ctx, id, nil)
 		}
 	}
 	spec, err := protocol.ParseJob(body)
@@ -100,62 +102,63 @@
 		if id == "" {
 			return http.StatusBadRequest, err
 		}
-		return k.known(ctx, id, func() (int, any) { return http.StatusBadRequest, err })
+		return k.answerKnown(ctx, id, func() (int, any) { return http.StatusBadRequest, err })
 	}
 	if k.catalog.Load() == nil {
-		return k.known(ctx, id, nil)
+		return k.answerKnown(ctx, id, nil)
 	}
-	if err := k.judge(spec); err != nil {
-		return k.known(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
+	if err := k.checkFeasible(spec); err != nil {
+		return k.answerKnown(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	}
-	with, err := k.needs(ctx, spec)
+	cancelledWith, err := k.needs(ctx, spec)
 	switch {
 	case errors.Is(err, errNever):
-		return k.known(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
+		return k.answerKnown(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	case err != nil:
-		return k.known(ctx, id, nil)
+		return k.answerKnown(ctx, id, nil)
 	}
-	if spec.Batch != nil && (spec.Batch.Hold || spec.Batch.FromMs > 0) && !k.understood(ctx, 3) {
-		return http.StatusServiceUnavailable, ErrLater // an older process would run it at once
+	if spec.Batch != nil && (spec.Batch.Hold || spec.Batch.FromMs > 0) && !k.allSupport(ctx, 3) {
+		return http.StatusServiceUnavailable, ErrRetryLater // a process of an older version would start the job at once
 	}
 	for range 2 {
-		err = k.store.CreateJob(ctx, spec, with)
+		err = k.store.CreateJob(ctx, spec, cancelledWith)
 		if err == nil {
 			due, _ := spec.Deadline()
-			slog.Debug("accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks, "waits for", spec.Needs, "due", due, "cancelled with", with)
+			slog.Debug("accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks, "waits for", spec.Needs, "due", due, "cancelled with", cancelledWith)
 			st := &protocol.JobStatus{ID: id, Status: protocol.Pending}
-			if with != "" {
+			if cancelledWith != "" {
 				st.Status = protocol.Cancelled
 			}
 			return http.StatusCreated, st
 		}
 		if errors.Is(err, bookkeeping.ErrConflict) {
-			return k.known(ctx, id, nil)
+			return k.answerKnown(ctx, id, nil)
 		}
 		if errors.Is(err, transport.ErrRefused) {
 			break
 		}
 	}
 	slog.Debug("submission not recorded", "job", id, "err", err)
-	return http.StatusServiceUnavailable, ErrLater
+	return http.StatusServiceUnavailable, ErrRetryLater
 }
 
-// known answers for a job that may be known already; otherwise says what else.
-func (k *Controller) known(ctx context.Context, id string, otherwise func() (int, any)) (int, any) {
+// answerKnown answers with the status of a job that may be known already; otherwise supplies the answer if it
+// is not.
+func (k *Controller) answerKnown(ctx context.Context, id string, otherwise func() (int, any)) (int, any) {
 	st, err := k.Status(ctx, id)
 	switch {
 	case err != nil:
-		return http.StatusServiceUnavailable, ErrLater
+		return http.StatusServiceUnavailable, ErrRetryLater
 	case st != nil:
 		return http.StatusOK, st
 	case otherwise != nil:
 		return otherwise()
 	}
-	return http.StatusServiceUnavailable, ErrLater
+	return http.StatusServiceUnavailable, ErrRetryLater
 }
 
-// judge says why a job can never run, if so.
-func (k *Controller) judge(s *protocol.JobSpec) error {
+// checkFeasible returns an error if a job can never run.
+func (k *Controller) checkFeasible(s *protocol.JobSpec) error {
 	team := k.cfg.Team(s.Team)
 	if team == nil {
 		return errors.New("unknown crew")
@@ -167,7 +170,7 @@
 	if !team.Admits(s.Need().Scale(n)) {
 		return errors.New("the job needs more than its crew may use")
 	}
-	if err := judgeAccount(k.quotaTree(), s, n); err != nil {
+	if err := checkAccount(k.quotaTree(), s, n); err != nil {
 		return err
 	}
 	for _, t := range k.catalog.Load().Types {
@@ -183,7 +186,7 @@
 	return errors.New("a task fits no machine that the job allows")
 }
 
-// quotaTree are the accounts, nil if quotas are not switched on.
+// quotaTree returns the tree of accounts, nil if quotas are not switched on.
 func (k *Controller) quotaTree() *quota.Tree {
 	if set := k.quotas.Load(); set != nil {
 		return set.tree
@@ -198,21 +201,20 @@
 		var err error
 		switch j, err = k.store.CancelJob(ctx, id); {
 		case err != nil:
-			return http.StatusServiceUnavailable, ErrLater
+			return http.StatusServiceUnavailable, ErrRetryLater
 		case j == nil:
 			return http.StatusNotFound, errors.New("no such job")
 		}
 	}
-	st, err := k.confirm(ctx, &standing{job: j})
+	st, err := k.confirmedStatus(ctx, &standing{job: j})
 	if err != nil {
-		return http.StatusServiceUnavailable, ErrLater
+		return http.StatusServiceUnavailable, ErrRetryLater
 	}
 	return http.StatusOK, st
 }
 
-// judgeAccount says why a job with so many tasks at once can never run in its
-// account, if so.
-func judgeAccount(t *quota.Tree, s *protocol.JobSpec, n float64) error {
+// checkAccount returns an error if a job with n tasks at a time can never run in its account.
+func checkAccount(t *quota.Tree, s *protocol.JobSpec, n float64) error {
 	if s.Account == "" && !t.HasTeam(s.Team) {
 		return nil
 	}
@@ -225,8 +227,8 @@
 	case account.Team() != s.Team:
 		return fmt.Errorf("account %q is not one of crew %s", s.Account, s.Team)
 	}
-	if binds, never := t.NeverFits(account.Name, s.Need().Scale(n)); never {
-		return fmt.Errorf("the job needs more than account %q may use", binds)
+	if limiting, neverFits := t.NeverFits(account.Name, s.Need().Scale(n)); neverFits {
+		return fmt.Errorf("the job needs more than account %q may use", limiting)
 	}
 	return nil
 }
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -22,46 +22,46 @@
 
 // world is a whole deployment in memory: the controllers among what the emulator plays.
 type world struct {
-	t      *testing.T
-	net    *emulator.Pipes
-	em     *emulator.World
-	names  []string
-	dir    string
-	nodes  map[string]context.CancelFunc
-	struck map[string]string // machines that something happened to, by the task named then
-	some   []string          // those that were drawn last
-	since  time.Time
-	cancel context.CancelFunc
-	// coming are the limits that the settings announce, as TOML.
-	coming string
+	t              *testing.T
+	net            *emulator.Pipes
+	em             *emulator.World
+	names          []string
+	dir            string
+	kill           map[string]context.CancelFunc
+	faulted        map[string]string // machines that something happened to, by the task named then
+	randomMachines []string          // those that were drawn last
+	startedAt      time.Time
+	cancel         context.CancelFunc
+	// nextLimits are the limits that the settings announce, as TOML.
+	nextLimits string
 	// accounts are the operators' quotas, as S-expressions.
 	accounts string
-	// watch is told of events, on the emulator's goroutine; it may be nil.
-	watch func(history.Event)
-	// cancelled follows what becomes of cancelled jobs, on the emulator's goroutine.
-	cancelled history.Cancellations
+	// onEvent is told of events, on the emulator's goroutine; it may be nil.
+	onEvent func(history.Event)
+	// cancellations follows what becomes of cancellations jobs, on the emulator's goroutine.
+	cancellations history.Cancellations
 }
 
 // cancelWithin is that of the settings below: how long tasks of a cancelled job may remain.
 const cancelWithin = 40 * time.Second
 
-// slowest is the cancelled job whose tasks remained longest so far, if users were told of any.
-func (w *world) slowest() (c history.Cancellation, any bool) {
+// slowestCancellation is the cancelled job whose tasks remained longest so far, if users were told of any.
+func (w *world) slowestCancellation() (c history.Cancellation, found bool) {
 	w.em.Rules(func(*history.Checker) {
-		if all := w.cancelled.At(w.em.Since()); len(all) > 0 {
-			c, any = all[0], true
+		if all := w.cancellations.At(w.em.Since()); len(all) > 0 {
+			c, found = all[0], true
 		}
 	})
-	return c, any
+	return c, found
 }
 
 // stateLimits are those of the settings below.
 var stateLimits = emulator.Limits{ValueKB: 8, WriteRPS: 100, TxnOps: 12}
 
-func newWorld(t *testing.T, controllers int, coming, accounts string) *world {
+func newWorld(t *testing.T, controllers int, nextLimits, accounts string) *world {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &world{t: t, net: emulator.NewPipes(ctx), dir: t.TempDir(), nodes: map[string]context.CancelFunc{}, struck: map[string]string{},
-		since: time.Now(), cancel: cancel, coming: coming, accounts: accounts}
+	w := &world{t: t, net: emulator.NewPipes(ctx), dir: t.TempDir(), kill: map[string]context.CancelFunc{}, faulted: map[string]string{},
+		startedAt: time.Now(), cancel: cancel, nextLimits: nextLimits, accounts: accounts}
 	fronts := map[string]string{}
 	for n := range controllers {
 		w.names = append(w.names, fmt.Sprintf("c%d", n))
@@ -70,9 +70,9 @@
 	var err error
 	w.em, err = emulator.New(ctx, w.net, emulator.Setup{Controllers: w.names, Capacity: 30, State: stateLimits,
 		Record: func(e history.Event) {
-			w.cancelled.Note(e)
-			if w.watch != nil {
-				w.watch(e)
+			w.cancellations.Note(e)
+			if w.onEvent != nil {
+				w.onEvent(e)
 			}
 		},
 		Teams:       []config.Team{{Name: "free"}, {Name: "bound", CoresMax: 8}, {Name: "gpus", Accels: 1, AccelsMax: 2}},
@@ -92,7 +92,7 @@
 	return w
 }
 
-const settingsText = `host_name = "%s"
+const settingsTemplate = `host_name = "%s"
 zone = "a"
 front = "front-%s:1"
 internal_addr = "inner-%s:1"
@@ -140,12 +140,12 @@
 fd_limit = 1000
 `
 
-// someQueues are queues for batch scripts, in worlds with accounts.
-const someQueues = `(pbs
+// queueSettings are queues for batch scripts, in worlds with accounts.
+const queueSettings = `(pbs
   (queue "work" (default true) (team "free") (class "batch") (image "img") (image-gb 3) (urgency "normal") (walltime "30") (mem-gb 4))
   (queue "bound" (team "bound") (class "batch") (image "img") (image-gb 3) (urgency "high") (walltime "30") (mem-gb 4)))`
 
-func (w *world) settings(name string) *config.Config {
+func (w *world) loadSettings(name string) *config.Config {
 	siblings := ""
 	for _, n := range w.names {
 		if n != name {
@@ -153,13 +153,13 @@
 		}
 	}
 	file := filepath.Join(w.dir, name+".toml")
-	if err := os.WriteFile(file, []byte(fmt.Sprintf(settingsText, name, name, name, siblings, name, w.coming)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(fmt.Sprintf(settingsTemplate, name, name, name, siblings, name, w.nextLimits)), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 	operators := ""
 	if w.accounts != "" {
 		operators = filepath.Join(w.dir, "operators.edn")
-		if err := os.WriteFile(operators, []byte("(daledyke (quotas "+w.accounts+")"+someQueues+")"), 0o600); err != nil {
+		if err := os.WriteFile(operators, []byte("(daledyke (quotas "+w.accounts+")"+queueSettings+")"), 0o600); err != nil {
 			w.t.Fatal(err)
 		}
 	}
@@ -185,30 +185,30 @@
 }
 
 func (w *world) startOne(name string) {
-	c := w.settings(name)
+	c := w.loadSettings(name)
 	kill, err := w.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
 		NewController(ctx, c, w.net.Dialer(name)).Serve(ctx, front, inner, 100)
 	})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.nodes[name] = kill
+	w.kill[name] = kill
 }
 
 func (w *world) crash(names ...string) {
 	for _, name := range names {
-		w.nodes[name]()
+		w.kill[name]()
 	}
 }
 
-// end ends the world; the rules must have held in it.
-func (w *world) end() {
+// close ends the world; the rules must have held in it.
+func (w *world) close() {
 	w.em.Rules(func(r *history.Checker) {
 		for _, v := range r.Violations() {
 			w.t.Error(v)
 		}
 	})
-	for _, stop := range w.nodes {
+	for _, stop := range w.kill {
 		stop()
 	}
 	w.em.End()
@@ -217,8 +217,8 @@
 	time.Sleep(30 * time.Second) // all goroutines notice and end
 }
 
-// told notes what a user was told, for the rules.
-func (w *world) told(kind history.Kind, job string, status int, answer string) {
+// noteAnswer notes what a user was noteAnswer, for the rules.
+func (w *world) noteAnswer(kind history.Kind, job string, status int, answer string) {
 	w.em.Note(history.Event{Kind: kind, Job: job, Code: status, Status: answer})
 }
 
@@ -245,9 +245,9 @@
 	return resp.StatusCode, out, err
 }
 
-// ask asks the controllers one after the other, as a user does, until one
+// askUntilAnswered asks the controllers one after the other, as a user does, until one
 // gives an answer that is final for the request.
-func (w *world) ask(method, path string, body any) (int, protocol.JobStatus) {
+func (w *world) askUntilAnswered(method, path string, body any) (int, protocol.JobStatus) {
 	for try := range 60 {
 		status, raw, err := w.call("user", method, "front-"+w.names[try%len(w.names)]+path, body, 5*time.Second)
 		if err == nil && status < 429 {
