--- a/internal/coordination/bad_input_test.go
+++ b/internal/coordination/bad_input_test.go
@@ -14,15 +14,15 @@
 	"daledyke/internal/protocol"
 )
 
-// validSubmission is a sound validSubmission, field by field.
+// validSubmission returns the fields of a valid submission.
 func validSubmission(id string) map[string]any {
 	return map[string]any{"id": id, "laneClass": "batch", "crew": "free", "shape": "array", "urgency": "normal", "passes": 2, "cores": 1.0, "accelerators": 0.0,
 		"ramGb": 1.0, "build": "img", "pullGb": 1.0, "rigs": nil, "plaza": nil, "oneZone": false, "scatter": false, "standby": false,
 		"expectedS": 10.0, "snapshotS": 0.0, "flushS": 0.0, "dueS": nil}
 }
 
-// invalidSubmissions are submissions that must never be accepted, and the status that refuses each: every
-// field left out, null and of each wrong kind, amounts out of range, and jobs that can never run.
+// invalidSubmissions returns submissions that must never be accepted, each with the status that refuses it:
+// every field missing, null and of each wrong type, values out of range, and jobs that can never run.
 func invalidSubmissions() map[string]int {
 	bad := map[string]int{}
 	n := 0
@@ -53,7 +53,7 @@
 			right = []any{}
 		case "plaza":
 			right = ""
-		case "dueS", "passes": // 7.5 passes are refused as well, see below
+		case "dueS", "passes": // a fraction of a pass is refused too, see below
 			right = 1.0
 		}
 		for _, v := range wrongKinds(right) {
@@ -77,9 +77,9 @@
 	return bad
 }
 
-// What lacks a field, is of a wrong kind or fits no machine is refused by every controller, is never
-// accepted, and is answered as what it repeats if its id is known. Cancels of what was never
-// accepted, of ids that are none and of jobs that are done are answered as such.
+// Every controller refuses a submission with a missing field, a field of a wrong type or a task that fits no
+// machine; the job stays unknown. If its id is known, the submission is answered as a repetition. Cancelling
+// a job that was never accepted, an invalid id or a finished job gets the matching answer.
 func TestBadInputIsNeverAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
@@ -106,11 +106,11 @@
 				continue
 			}
 			if got := send("c1", http.MethodGet, "/v1/jobs/"+id, ""); got != http.StatusNotFound {
-				t.Errorf("%s was refused and is known: %d", body, got)
+				t.Errorf("%s was refused, yet its job is known: %d", body, got)
 			}
 			known := strings.Replace(body, `"`+id+`"`, `"wk-1"`, 1)
 			if got := send("c2", http.MethodPost, "/v1/jobs", known); got != http.StatusOK {
-				t.Errorf("as a repeat of a known id, %s: %d", known, got)
+				t.Errorf("repeated with a known id, %s: %d", known, got)
 			}
 		}
 		time.Sleep(time.Minute)
@@ -127,8 +127,8 @@
 	})
 }
 
-// A controller that does not know the machine types can't tell whether a job fits: it accepts and
-// refuses nothing for that, and still calls malformed what is malformed.
+// A controller that does not know the machine types cannot tell whether a job fits: it neither accepts nor
+// refuses a job for its fit, and still rejects malformed submissions.
 func TestFitIsUndecidedWithoutMachineTypes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -31,7 +31,7 @@
 
 	catalog atomic.Pointer[protocol.Catalog]
 	loaded  atomic.Bool
-	// quotas are the accounts, nil if quotas are not switched on.
+	// quotas holds the tree of accounts; nil if quotas are not switched on.
 	quotas atomic.Pointer[quotaSet]
 }
 
--- a/internal/coordination/production_test.go
+++ b/internal/coordination/production_test.go
@@ -11,8 +11,8 @@
 	"daledyke/internal/protocol"
 )
 
-// What siblings of the version in production send and understand. The types
-// below are its own; testdata/production-rpc.txt tells where the bytes are from.
+// The messages that siblings of the production version send and understand. The types below are those of that
+// version; testdata/production-rpc.txt tells where the bytes are from.
 
 type (
 	productionTask struct {
@@ -119,12 +119,12 @@
 		}
 	}
 	if m := reply.Machines[0]; m.Free.RAM != 16 || m.Drained != 77 || m.Tasks[1].Cause != "halted" || !m.Tasks[1].Saved || !reply.Slots[0].Complete || reply.Window != 7 {
-		t.Errorf("news are read as %+v", reply)
+		t.Errorf("the production version reads the news as %+v", reply)
 	}
 	if s := ask.Starts[0]; s.Task != "wk-1/1" || s.Attempt != 9 || !s.Reserve || s.Evict[0] != "wk-8/0" || !ask.Stops[0].Forget || ask.ID != 12884901894 {
-		t.Errorf("a request is read as %+v", ask)
+		t.Errorf("the production version reads the request as %+v", ask)
 	}
-	// These are the words that the older version judges by; no new one may join them.
+	// The older version decides by these words; no new word may be added to them.
 	if words := []string{board.TaskReserved, board.TaskQueued, board.TaskStarting}; !reflect.DeepEqual(words, []string{"reserved", "queued", "starting"}) {
 		t.Errorf("%v", words)
 	}
--- a/internal/coordination/renting.go
+++ b/internal/coordination/renting.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		state.input.Machines = append(state.input.Machines, &fleet.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Booting: true,
-			Free: t.Room(), Drains: age > lateAfter}) // machines that are late count as draining: the plan does not rely on them
+			Free: t.Room(), Drains: age > lateAfter}) // the plan does not rely on late machines
 	}
 	return gone
 }
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -15,7 +15,7 @@
 	"daledyke/internal/transport"
 )
 
-// qsub submits a script as its clients do, by any controller that answers.
+// qsub submits a script as clients do, through any controller that answers.
 func (w *world) qsub(key, options, script string) (protocol.ScriptTaken, error) {
 	var doors []string
 	for _, n := range w.names {
@@ -24,7 +24,7 @@
 	return transport.NewUsers(w.net.Dialer("user"), doors).SubmitScript(w.t.Context(), key, options, script)
 }
 
-// uploadScript has workers uploadScript what a script's job is.
+// uploadScript makes the job of a script known to the emulated workers.
 func (w *world) uploadScript(key, options, script string) string {
 	id := pbs.IDOf(key)
 	command, err := pbs.CommandLine(options)
@@ -39,8 +39,8 @@
 	return id
 }
 
-// A script submitted through a crash of the controller that takes it, and of all, is
-// one job; it runs, its script can be read afterwards, and qdel ends another one.
+// A script that is submitted while all controllers are down, and submitted again, is one job. The job runs,
+// its script can be read afterwards, and another job can be cancelled.
 func TestResubmittedScriptIsOneJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
@@ -52,7 +52,7 @@
 		time.AfterFunc(7*time.Second, func() {
 			w.start(w.names...)
 		})
-		for range 2 { // the client never heard the answer, and sends it again
+		for range 2 { // the client did not get the answer and submits again
 			taken, err := w.qsub("key-1", "", script)
 			if err != nil || taken.Job != id || taken.ID != pbs.Name(id, true) {
 				t.Fatalf("%+v, %v", taken, err)
@@ -99,8 +99,8 @@
 	})
 }
 
-// A held job starts nothing, whatever crashes, until it is released; it is released
-// once, by whoever asks first, and another hold lets what runs go on.
+// A held job starts nothing until it is released, even if all controllers crash. Only the first of several
+// releases changes it. Holding it again lets running tasks go on.
 func TestHeldJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
@@ -136,7 +136,7 @@
 		}
 		time.Sleep(18 * time.Second)
 		if changed != 1 || started() != 4 {
-			t.Errorf("released %d times, %d starts", changed, started())
+			t.Errorf("%d requests released the job, %d starts", changed, started())
 		}
 		if a, err := users.Hold(t.Context(), id, true); err != nil || !a.Held && a.Status == protocol.Pending {
 			t.Errorf("%+v, %v", a, err)
@@ -148,8 +148,7 @@
 	})
 }
 
-// The same work has the same outcome at both doors: status, and the reason if it is
-// refused.
+// The same work gets the same status as a script and as a native job, and the same reason if it is refused.
 func TestScriptsAndNativeJobsGetSameAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free" (cpus 0 16)) (account "free/a" (cpus 0 8) (ram 0 100))`)
@@ -182,8 +181,7 @@
 	})
 }
 
-// A job that is to start at a time does so, though all controllers were away when it
-// came.
+// A job with a start time starts at that time, even if all controllers were down then.
 func TestJobsStartAtRequestedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
@@ -213,7 +211,7 @@
 	})
 }
 
-// rawRequest makes one request and gives its status and body.
+// rawRequest makes one request and returns its status and body.
 func (w *world) rawRequest(method, url, body string, header http.Header) (int, string) {
 	host, path, _ := strings.Cut(url, "/")
 	client := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer("user"), DisableKeepAlives: true}}
--- a/internal/coordination/trace_faults_test.go
+++ b/internal/coordination/trace_faults_test.go
@@ -14,19 +14,19 @@
 	"daledyke/internal/ring"
 )
 
-// Steps of traces that have something fail.
+// Trace steps that inject faults.
 
-// runningMachinesTimeout is for how long a step of a trace waits for as many machines as it strikes.
+// runningMachinesTimeout is how long a step waits until as many machines run as it injects a fault into.
 const runningMachinesTimeout = 30 * time.Second
 
-// faultRandomMachines has something happen to so many machines that run (0: to all), or ends it for those
-// that were struck last. Who restarts when decides how many machines that hung for a while are given
-// up: where too few run at the moment, it waits until those that replace them are up.
+// faultRandomMachines injects a fault into count running machines drawn at random (0: all), or ends it for
+// the machines drawn last. Which controllers restart, and when, determines how many machines that hung for a
+// while are given up; if too few machines run at the moment, the step waits until replacements are up.
 func (w *world) faultRandomMachines(count int, trouble emulator.Trouble) error {
 	switch trouble {
 	case emulator.Hears, emulator.Speaks, emulator.Resumes, emulator.Rejoins:
 		for _, id := range w.randomMachines {
-			w.em.Strike(id, trouble) // it may have been returned meanwhile
+			w.em.Strike(id, trouble) // the machine may have been returned meanwhile
 		}
 		return nil
 	}
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// faultMachinesOf has something happen to all machines with tasks whose slots are a controller's if all
-// controllers are there.
+// faultMachinesOf injects a fault into all machines with tasks whose slots the controller holds when all
+// controllers are up.
 func (w *world) faultMachinesOf(controller string, trouble emulator.Trouble) error {
 	var ids []string
 	w.em.Rules(func(r *history.Checker) {
@@ -65,6 +65,7 @@
 	return failed
 }
 
+// cutController cuts the connections of a controller to the given peers, or ends all cuts.
 func (w *world) cutController(args []string) {
 	if args[0] == "off" {
 		w.net.Sever(func(string, string) bool { return false })
@@ -83,27 +84,27 @@
 	})
 }
 
-// cutZone cuts the machines of a zone, and one controller with them, from all that is not there.
+// cutZone isolates the machines of a zone, together with one controller, from everything outside the zone.
 func (w *world) cutZone(zone, controller string) {
 	isInside := func(host string) bool {
 		return host == controller || strings.HasPrefix(host, "host-") && w.em.ZoneOf(host) == zone
 	}
 	w.net.Sever(func(from, to string) bool {
 		name := strings.TrimSuffix(to, ":1")
-		for _, role := range []string{"front-", "inner-", "worker-"} { // of the services none belongs to a zone
+		for _, role := range []string{"front-", "inner-", "worker-"} { // the services belong to no zone
 			name = strings.TrimPrefix(name, role)
 		}
 		return isInside(from) != isInside(name)
 	})
 }
 
-// faultMachineOfTask does something to the machine that a task is on.
+// faultMachineOfTask injects a fault into the machine that a task is on, or ends it.
 func (w *world) faultMachineOfTask(task, how string) error {
 	job, index, _ := protocol.SplitTask(task)
 	id := ""
 	w.em.Rules(func(r *history.Checker) { id = r.Machines(job)[index] })
 	if ends := emulator.Trouble(how); ends == emulator.Resumes || ends == emulator.Rejoins {
-		w.em.Strike(w.faulted[task], ends) // it may have been returned meanwhile
+		w.em.Strike(w.faulted[task], ends) // the machine may have been returned meanwhile
 		return nil
 	}
 	w.faulted[task] = id
--- a/internal/coordination/trace_jobs_test.go
+++ b/internal/coordination/trace_jobs_test.go
@@ -12,7 +12,7 @@
 	"daledyke/internal/protocol"
 )
 
-// Steps of traces about jobs: what is submitted, and what is expected of it.
+// Trace steps that submit jobs and check their state.
 
 // submit JOB SHAPE TASKS [key=value ...]
 func (w *world) submit(args []string) error {
@@ -33,9 +33,9 @@
 		case "run":
 			run = protocol.Seconds(number)
 			s.EstimateS = number
-		case "apart": // each task runs so much longer than the one before
+		case "apart": // each task runs longer than the one before by this time
 			increment = protocol.Seconds(number)
-		case "gb": // an image of its own, so large
+		case "gb": // the job has an image of its own, of this size
 			s.Image, s.ImageGB = "img-"+s.ID, number
 		case "cores":
 			s.Cores = number
@@ -86,10 +86,10 @@
 	return nil
 }
 
-// expect JOB pending|running|done|cancelled|unknown, or
-// expect JOB starts N: no more than N starts of its tasks so far, or
-// expect JOB on N: so many of its tasks are on machines, or
-// expect JOB machines N: its tasks are on N machines.
+// expect JOB pending|running|done|cancelled|unknown: all controllers report this state, or
+// expect JOB starts N: between 1 and N starts of its tasks so far, or
+// expect JOB on N: N of its tasks are on machines, or
+// expect JOB machines N: its tasks are on N different machines.
 func (w *world) expect(job string, what []string) error {
 	starts, on, machines := 0, 0, map[string]bool{}
 	w.em.Rules(func(r *history.Checker) {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// upload has the workers know a job; a service runs until it is stopped.
+// upload makes the job known to the emulated workers. A service runs until it is stopped.
 func (w *world) upload(s *protocol.JobSpec, run, increment time.Duration, failsEverywhere bool) {
 	if s.Shape == protocol.Service {
 		run = 0
@@ -138,7 +138,7 @@
 	w.em.Upload(s, func(index int) time.Duration { return run + time.Duration(index)*increment }, failsEverywhere)
 }
 
-// cpusUsed is how many CPUs an account's tasks use.
+// cpusUsed returns how many CPUs the tasks of an account use.
 func (w *world) cpusUsed(account string) (cpus float64) {
 	w.em.Rules(func(r *history.Checker) { cpus = r.Uses(account).Cores })
 	return cpus
--- a/internal/coordination/trace_records_test.go
+++ b/internal/coordination/trace_records_test.go
@@ -8,9 +8,9 @@
 	"daledyke/internal/protocol"
 )
 
-// Steps of traces that change records, as other versions leave them.
+// Trace steps that give records the form that other versions write.
 
-// dropRosters takes out of the slots' records what only this version writes.
+// dropRosters removes the fields that only this version writes from the records of slots.
 func (w *world) dropRosters() error {
 	return w.em.State.Edit(bookkeeping.Root+"s/", func(key string, value json.RawMessage, lease uint64) ([]protocol.Change, error) {
 		var rec bookkeeping.Slot
@@ -20,8 +20,8 @@
 	})
 }
 
-// dropFields changes the values of all keys with a prefix, as the version before chains
-// leaves them: it drops what it doesn't know.
+// dropFields removes fields from all records with a key prefix, as the version before chains does when it
+// writes them: it drops the fields that it does not know.
 func (w *world) dropFields(prefix string, fields ...string) error {
 	return w.em.State.Edit(bookkeeping.Root+prefix, func(key string, value json.RawMessage, lease uint64) ([]protocol.Change, error) {
 		var rec map[string]any
@@ -33,7 +33,7 @@
 	})
 }
 
-// archiveRecord puts a job's record where those of jobs long over stand, in a state.
+// archiveRecord moves the record of a job to the archive of finished jobs, in the given state.
 func (w *world) archiveRecord(id, state string) error {
 	if state == protocol.Cancelled { // as if by its user
 		w.em.Note(history.Event{Kind: history.CancelAsked, Job: id})
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/trace_test.go
@@ -26,23 +26,22 @@
 	"daledyke/internal/transport"
 )
 
-// TestMain keeps the logs out of the tests' output, unless LOG_LEVEL asks.
+// TestMain keeps logs out of the test output unless LOG_LEVEL is set.
 func TestMain(m *testing.M) {
 	var level slog.Level
 	if level.UnmarshalText([]byte(os.Getenv("LOG_LEVEL"))) != nil {
 		level = slog.LevelError
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-	// Go 1.26's race detector gives all timers of a synctest bubble one
-	// context, and crashes when two threads use it at the same moment. Races
-	// are found by the order of events, so one thread at a time finds them too.
+	// Go 1.26's race detector gives all timers of a synctest bubble one context and crashes when two threads
+	// use it at the same time. The detector finds races by the order of events, so one thread at a time
+	// suffices to find them.
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
 }
 
-// TestTraces replays the kept traces in testdata: each is a short story of a
-// deployment in trouble, told line by line as "time verb arguments", and the
-// rules are checked at every start of a task. Time is virtual.
+// TestTraces replays the traces in testdata. Each trace describes a deployment with failures, one step a line
+// as "time verb arguments"; the safety rules are checked at each start of a task. Time is virtual.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
@@ -55,6 +54,7 @@
 	}
 }
 
+// replayTrace replays one trace in a new world.
 func replayTrace(t *testing.T, file string) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -71,19 +71,19 @@
 		}
 		at, err := time.ParseDuration(words[0])
 		if err != nil || len(words) < 2 {
-			t.Fatalf("line %d: %q is no step of a trace", number, lines.Text())
+			t.Fatalf("line %d: %q is not a step of a trace", number, lines.Text())
 		}
-		if words[1] == "controllers" { // before anything else: how many there are
+		if words[1] == "controllers" { // controllers N, before any other step
 			if controllers, err = strconv.Atoi(words[2]); err != nil || w != nil {
 				t.Fatalf("line %d: %q", number, lines.Text())
 			}
 			continue
 		}
-		if words[1] == "account" { // before anything else: account NAME GUARANTEE LIMIT of CPUs
+		if words[1] == "account" { // account NAME GUARANTEE LIMIT, in CPUs, before any other step
 			accounts += fmt.Sprintf("(account %q (cpus %s %s))\n", words[2], words[3], words[4])
 			continue
 		}
-		if words[1] == "coming" { // before anything else: limits of the state service that the settings announce
+		if words[1] == "coming" { // coming VALUE_KB TXN_OPS WRITE_RPS, before any other step: future limits of the state service, as announced in the settings
 			nextLimits = fmt.Sprintf("next = { value_kb = %s, txn_ops = %s, write_rps = %s }", words[2], words[3], words[4])
 			continue
 		}
@@ -99,14 +99,13 @@
 		}
 	}
 	if c, found := w.slowestCancellation(); found {
-		t.Logf("the tasks of cancelled jobs were gone within %.2f of their time; last %s, %v after its user was told, %d starts after that",
+		t.Logf("slowest cancellation: %.2f of the time allowed; the tasks of %s were gone %v after its user was told, with %d starts after that",
 			float64(c.Lasted())/float64(cancelWithin), c.Job, c.Lasted().Round(time.Millisecond), c.StartedAfter)
 	}
 }
 
-// pollStorm has many users ask every controller at once: all must be answered in
-// the two seconds that users wait, by no more than so many requests to the
-// state service.
+// pollStorm sends many requests to each controller at the same time. Each must be answered within the two
+// seconds that users wait, and all together may cost at most maxReads requests to the state service.
 func (w *world) pollStorm(path, users, maxReads string) error {
 	n, err1 := strconv.Atoi(users)
 	limit, err2 := strconv.Atoi(maxReads)
@@ -133,7 +132,7 @@
 	return errors.Join(failed, err1, err2)
 }
 
-// overview is what a controller shows its operators.
+// overview returns the view of a controller for operators.
 func (w *world) overview(name string) (v protocol.Overview, err error) {
 	_, raw, err := w.call("user", http.MethodGet, "front-"+name+"/operator/status", nil, 3*time.Second)
 	if err == nil {
@@ -142,7 +141,7 @@
 	return v, err
 }
 
-// stepInBackground takes a step beside the trace.
+// stepInBackground carries out a step while the trace goes on.
 func (w *world) stepInBackground(verb string, args []string) {
 	go func() {
 		if err := w.step(verb, args); err != nil {
@@ -151,7 +150,7 @@
 	}()
 }
 
-// setQuotas changes accounts as operators do, through one controller.
+// setQuotas changes accounts through one controller, as operators do.
 func (w *world) setQuotas(controller, revision string, args []string) (err error) {
 	c := quota.Change{By: "trace", Why: "as it says"}
 	if c.Revision, err = strconv.ParseUint(revision, 10, 64); err != nil {
@@ -164,7 +163,7 @@
 			return err
 		}
 		c.Set = append(c.Set, a)
-		w.em.Rules(func(r *history.Checker) { r.LimitAccount(a.Name, -1) }) // until limit-holds says so
+		w.em.Rules(func(r *history.Checker) { r.LimitAccount(a.Name, -1) }) // no limit is checked until a step limit-holds sets one
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -182,7 +181,7 @@
 	switch verb {
 	case "submit":
 		return w.submit(args)
-	case "swarm": // swarm FIRST LAST RUN: so many jobs of one task, one after the other
+	case "swarm": // swarm FIRST LAST RUN: submits the jobs wk-FIRST to wk-LAST, of one task each
 		first, err1 := strconv.Atoi(args[0])
 		last, err2 := strconv.Atoi(args[1])
 		errs := make(chan error)
@@ -196,9 +195,9 @@
 			failed = errors.Join(failed, <-errs)
 		}
 		return failed
-	case "swarm-begins": // the same, and the trace goes on meanwhile
+	case "swarm-begins": // as swarm, but the trace goes on meanwhile
 		w.stepInBackground("swarm", args)
-	case "stream": // stream FIRST LAST RUN EVERY: such jobs, one every so often, and the trace goes on meanwhile
+	case "stream": // stream FIRST LAST RUN EVERY: submits such jobs at intervals; the trace goes on meanwhile
 		first, err1 := strconv.Atoi(args[0])
 		last, err2 := strconv.Atoi(args[1])
 		every, err3 := time.ParseDuration(args[3])
@@ -208,7 +207,7 @@
 			})
 		}
 		return errors.Join(err1, err2, err3)
-	case "stream-cancelled": // stream-cancelled FIRST LAST RUN EVERY AFTER LONG: as stream, but every fourth would run for LONG and is cancelled so long after
+	case "stream-cancelled": // stream-cancelled FIRST LAST RUN EVERY AFTER LONG: as stream, but each fourth job would run for LONG and is cancelled after AFTER
 		first, err1 := strconv.Atoi(args[0])
 		last, err2 := strconv.Atoi(args[1])
 		every, err3 := time.ParseDuration(args[3])
@@ -222,7 +221,7 @@
 			time.AfterFunc(time.Duration(n-first)*every, func() { w.stepInBackground("swarm", []string{id, id, run}) })
 		}
 		return errors.Join(err1, err2, err3, err4)
-	case "stream-bound", "stream-free": // the same, of jobs of that team that take half of what the bound one may use
+	case "stream-bound", "stream-free": // as stream, with jobs of that team, each taking half of the limit of team bound
 		first, err1 := strconv.Atoi(args[0])
 		last, err2 := strconv.Atoi(args[1])
 		every, err3 := time.ParseDuration(args[3])
@@ -239,7 +238,7 @@
 			err = fmt.Errorf("took %v", time.Since(began))
 		}
 		return err
-	case "cancelled-gone": // cancelled-gone TIME: no task of a cancelled job was on a machine, or started, later than so long after its user was told
+	case "cancelled-gone": // cancelled-gone TIME: no task of a cancelled job ran or started later than TIME after its user was told
 		most, err := time.ParseDuration(args[0])
 		c, any := w.slowestCancellation()
 		switch {
@@ -249,11 +248,11 @@
 			err = fmt.Errorf("%+v", c)
 		}
 		return err
-	case "begins-submit": // the same as submit, and the trace goes on meanwhile
+	case "begins-submit": // as submit, but the trace goes on meanwhile
 		w.stepInBackground("submit", args)
-	case "begins-cancel": // begins-cancel JOB: its user goes on asking, and the trace goes on meanwhile
+	case "begins-cancel": // begins-cancel JOB: as cancel, with retries, but the trace goes on meanwhile
 		w.stepInBackground("cancel", args)
-	case "window": // window CONTROLLER N: it goes by the window of this number, or a later one
+	case "window": // window CONTROLLER N: the controller has adopted window N or a later one
 		v, err := w.overview(args[0])
 		if n, bad := strconv.ParseUint(args[1], 10, 64); err == nil && (bad != nil || v.Window == nil || v.Window.Number < n) {
 			err = fmt.Errorf("%+v", v.Window)
@@ -273,55 +272,55 @@
 		if err != nil || strconv.Itoa(status) != args[0] {
 			return fmt.Errorf("answer %d, %v", status, err)
 		}
-	case "expect-on": // expect-on JOB N: so many of its tasks are on machines, whoever answers or not
+	case "expect-on": // expect-on JOB N: N of its tasks are on machines; no controller is asked
 		on := 0
 		w.em.Rules(func(r *history.Checker) { on = len(r.Machines(args[0])) })
 		if strconv.Itoa(on) != args[1] {
 			return fmt.Errorf("%d tasks are on machines", on)
 		}
-	case "storm": // storm PATH USERS reads N: so many ask each controller at once
+	case "storm": // storm PATH USERS reads N: USERS users ask each controller at the same time
 		return w.pollStorm(args[0], args[1], args[3])
-	case "asked": // asked CONTROLLER PATH STATUS
+	case "asked": // asked CONTROLLER PATH STATUS: a request gets this status
 		status, _, err := w.call("user", http.MethodGet, "front-"+args[0]+args[1], nil, 2*time.Second)
 		if err != nil || strconv.Itoa(status) != args[2] {
 			return fmt.Errorf("answer %d, %v", status, err)
 		}
-	case "asks": // asks CONTROLLER PATH: a user asks, whatever the answer is
+	case "asks": // asks CONTROLLER PATH: sends a request and ignores the answer
 		w.call("user", http.MethodGet, "front-"+args[0]+args[1], nil, 2*time.Second)
-	case "unhealthy": // unhealthy CONTROLLER: it tells the load balancer to send nobody
+	case "unhealthy": // unhealthy CONTROLLER: it tells the load balancer to send no requests
 		status, _, err := w.call("user", http.MethodGet, "front-"+args[0]+"/healthz", nil, 2*time.Second)
 		if err == nil && status == 200 {
 			err = errors.New("it is healthy")
 		}
 		return err
-	case "shows": // shows CONTROLLER PATH WORDS: the operators' view holds the words
+	case "shows": // shows CONTROLLER PATH WORDS: its answer to operators contains the words
 		status, raw, err := w.call("user", http.MethodGet, "front-"+args[0]+args[1], nil, 3*time.Second)
 		if words := strings.Join(args[2:], " "); err != nil || status != 200 || !strings.Contains(string(raw), words) {
 			return fmt.Errorf("answer %d %.2000s, %v", status, raw, err)
 		}
-	case "lags": // lags CONTROLLER TIME: it hears of changes so much later
+	case "lags": // lags CONTROLLER TIME: it receives changes of records later by TIME
 		lag, err := time.ParseDuration(args[1])
 		w.em.State.Lag(args[0], lag)
 		return err
-	case "uses": // uses ACCOUNT N: its tasks use N CPUs
+	case "uses": // uses ACCOUNT N: the tasks of the account use N CPUs
 		use := w.cpusUsed(args[0])
 		if n, err := strconv.ParseFloat(args[1], 64); err != nil || math.Abs(use-n) > 1e-6 {
 			return fmt.Errorf("uses %v", use)
 		}
-	case "quota-set": // quota-set CONTROLLER REVISION ACCOUNT GUARANTEE LIMIT ...: operators change accounts, by the revision
+	case "quota-set": // quota-set CONTROLLER REVISION ACCOUNT GUARANTEE LIMIT ...: changes accounts, based on the revision
 		return w.setQuotas(args[0], args[1], args[2:])
-	case "quota-refused": // the same, and it is refused
+	case "quota-refused": // as quota-set, and the change is refused
 		if err := w.setQuotas(args[0], args[1], args[2:]); err == nil {
 			return errors.New("it was taken")
 		}
-	case "limit-holds": // limit-holds ACCOUNT N: from now on the account may not use more than that
+	case "limit-holds": // limit-holds ACCOUNT N: from now on the account may use at most N CPUs
 		n, err := strconv.ParseFloat(args[1], 64)
 		w.em.Rules(func(r *history.Checker) { r.LimitAccount(args[0], n) })
 		if use := w.cpusUsed(args[0]); use > n+1e-6 {
 			return fmt.Errorf("uses %v", use)
 		}
 		return err
-	case "incomplete": // incomplete CONTROLLER N: of so many slots at most it is not known what is there
+	case "incomplete": // incomplete CONTROLLER N: it shows at most N slots as incomplete
 		v, err := w.overview(args[0])
 		n := 0
 		for _, s := range v.Slots {
@@ -332,7 +331,7 @@
 		if most, bad := strconv.Atoi(args[1]); err != nil || bad != nil || n > most {
 			return fmt.Errorf("%d slots are incomplete, %v", n, err)
 		}
-	case "holds-slots": // holds-slots CONTROLLER N: it holds so many slots at least
+	case "holds-slots": // holds-slots CONTROLLER N: it holds at least N slots
 		v, err := w.overview(args[0])
 		held := 0
 		for _, s := range v.Slots {
@@ -344,12 +343,12 @@
 			return fmt.Errorf("it holds %d slots, %v", held, err)
 		}
 		return err
-	case "limits": // limits VALUE_KB TXN_OPS WRITE_RPS: the state service has these from now on
+	case "limits": // limits VALUE_KB TXN_OPS WRITE_RPS: limits of the state service from now on
 		var l emulator.Limits
 		_, err := fmt.Sscan(strings.Join(args, " "), &l.ValueKB, &l.TxnOps, &l.WriteRPS)
 		w.em.State.Limit(l)
 		return err
-	case "malformed": // malformed N: no more requests than that were called malformed
+	case "malformed": // malformed N: the state service has rejected at most N requests as malformed
 		n, err := strconv.Atoi(args[0])
 		if was := w.em.State.Counts().Malformed; was > n {
 			return fmt.Errorf("%d requests were malformed", was)
@@ -361,39 +360,39 @@
 		w.start(args...)
 	case "state-outage":
 		w.em.State.Outage(isOn(args))
-	case "state-slow": // state-slow TIME: its answers take so long, 0s for no more
+	case "state-slow": // state-slow TIME: its answers take TIME; 0s ends it
 		by, err := time.ParseDuration(args[0])
 		w.em.State.Slow(by)
 		return err
-	case "state-late": // state-late TIME: transactions are carried out so much later, unanswered, 0s for no more
+	case "state-late": // state-late TIME: transactions are carried out later by TIME and get no answer; 0s ends it
 		by, err := time.ParseDuration(args[0])
 		w.em.State.Late(by)
 		return err
-	case "state-unheard": // state-unheard SHARE: so many transactions are carried out and their answers lost, 0 for no more
+	case "state-unheard": // state-unheard SHARE: for this share of transactions the answer is lost after they were carried out; 0 ends it
 		share, err := strconv.ParseFloat(args[0], 64)
 		w.em.State.Unheard(share)
 		return err
-	case "loses-answer": // loses-answer CONTROLLER PREFIX: its next change of such a record is carried out, and the answer lost
+	case "loses-answer": // loses-answer CONTROLLER PREFIX: the answer to its next change of a record with the prefix is lost after the change was carried out
 		w.em.State.LoseNext(args[0], bookkeeping.Root+args[1])
-	case "late-commands": // late-commands SHARE: so many direct commands are held up for seconds, unanswered, 0 for no more
+	case "late-commands": // late-commands SHARE: this share of direct commands is delayed by seconds and gets no answer; 0 ends it
 		share, err := strconv.ParseFloat(args[0], 64)
 		w.em.HoldCommands(share)
 		return err
-	case "reports-kept": // reports-kept on|off: copies of reports are kept, and reach every controller at once when that ends
+	case "reports-kept": // reports-kept on|off: a copy of the next report of each machine is kept; off sends all copies to every controller
 		w.em.KeepReports(isOn(args))
 	case "state-refuses":
 		w.em.State.Refuse(args[0], isOn(args))
-	case "renewals-refused": // renewals-refused CONTROLLER on|off: for the rate, while all else it asks is served
+	case "renewals-refused": // renewals-refused CONTROLLER on|off: renewals of its session are refused for the rate; all else is served
 		w.em.State.Starve(args[0], isOn(args))
-	case "older-records": // as a version left them that kept no rosters
+	case "older-records": // removes what versions without rosters do not write
 		return w.dropRosters()
-	case "older": // older CONTROLLER: its session is of the version before chains
+	case "older": // older CONTROLLER: gives its session the form of the version before chains
 		return w.dropFields("m/"+args[0], "gen")
-	case "rewritten": // jobs that are over, as the version before chains writes them
+	case "rewritten": // gives records of finished jobs the form of the version before chains
 		return w.dropFields("z/", "end", "with")
-	case "archived": // archived JOB STATE: its record stands with those long over
+	case "archived": // archived JOB STATE: moves the record of the job to the archive
 		return w.archiveRecord(args[0], args[1])
-	case "boots": // boots FACTOR: machines rented from now on boot so much slower; 0: at once
+	case "boots": // boots FACTOR: machines rented from now on boot slower by this factor; 0: at once
 		factor, err := strconv.ParseFloat(args[0], 64)
 		w.em.Boots(factor)
 		return err
@@ -403,11 +402,11 @@
 		n, err := strconv.Atoi(args[0])
 		w.em.Capacity(n)
 		return err
-	case "cut-zone": // cut-zone ZONE CONTROLLER: the machines of a zone and this controller from all else; cut off ends it
+	case "cut-zone": // cut-zone ZONE CONTROLLER: isolates the machines of a zone together with this controller; cut off ends it
 		w.cutZone(args[0], args[1])
 	case "cut": // cut CONTROLLER from workers|siblings|state+siblings|all, or cut off
 		w.cutController(args)
-	case "rented": // rented N: no more machines than that so far
+	case "rented": // rented N: at most N machines have been rented so far
 		n, err := strconv.Atoi(args[0])
 		if made := w.em.Made(); made > n {
 			return fmt.Errorf("%d machines were rented", made)
@@ -415,15 +414,15 @@
 		return err
 	case "machine": // machine TASK hangs|resumes|dies|sickens|leaves|deafens|holds|hears|mutes|speaks|reboots
 		return w.faultMachineOfTask(args[0], args[1])
-	case "machines": // machines N hangs|resumes|deafens|holds|hears|mutes|speaks|isolates|rejoins|reboots: as many of them, drawn by chance, or those that were; 0: all
+	case "machines": // machines N hangs|resumes|deafens|holds|hears|mutes|speaks|isolates|rejoins|reboots: N machines drawn at random (0: all), or for an ending those drawn last
 		count, err := strconv.Atoi(args[0])
 		if err != nil {
 			return err
 		}
 		return w.faultRandomMachines(count, emulator.Trouble(args[1]))
-	case "machines-of": // machines-of CONTROLLER mutes|speaks|...: all machines with tasks whose slots are at home there
+	case "machines-of": // machines-of CONTROLLER mutes|speaks|...: all machines with tasks in slots that the controller holds when all are up
 		return w.faultMachinesOf(args[0], emulator.Trouble(args[1]))
-	case "echoes": // echoes TIME: copies of all reports come so much later, 0s for no more
+	case "echoes": // echoes TIME: a copy of each report arrives later by TIME; 0s ends it
 		by, err := time.ParseDuration(args[0])
 		w.em.Echo(by)
 		return err
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -118,7 +118,7 @@
 		return k.answerKnown(ctx, id, nil)
 	}
 	if spec.Batch != nil && (spec.Batch.Hold || spec.Batch.FromMs > 0) && !k.allSupport(ctx, 3) {
-		return http.StatusServiceUnavailable, ErrRetryLater // a process of an older version would start the job at once
+		return http.StatusServiceUnavailable, ErrRetryLater // an older process would start the job at once
 	}
 	for range 2 {
 		err = k.store.CreateJob(ctx, spec, cancelledWith)
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -20,7 +20,7 @@
 	"daledyke/internal/protocol"
 )
 
-// world is a whole deployment in memory: the controllers among what the emulator plays.
+// world is a whole deployment in memory: real controllers, with everything else emulated.
 type world struct {
 	t              *testing.T
 	net            *emulator.Pipes
@@ -28,24 +28,25 @@
 	names          []string
 	dir            string
 	kill           map[string]context.CancelFunc
-	faulted        map[string]string // machines that something happened to, by the task named then
-	randomMachines []string          // those that were drawn last
+	faulted        map[string]string // machines with an injected fault, by the task that the step named
+	randomMachines []string          // the machines drawn last at random
 	startedAt      time.Time
 	cancel         context.CancelFunc
-	// nextLimits are the limits that the settings announce, as TOML.
+	// nextLimits are the future limits of the state service that the settings announce, as TOML.
 	nextLimits string
 	// accounts are the operators' quotas, as S-expressions.
 	accounts string
-	// onEvent is told of events, on the emulator's goroutine; it may be nil.
+	// onEvent is called for each event on the goroutine of the emulator; it may be nil.
 	onEvent func(history.Event)
-	// cancellations follows what becomes of cancellations jobs, on the emulator's goroutine.
+	// cancellations tracks cancelled jobs; it is used on the goroutine of the emulator.
 	cancellations history.Cancellations
 }
 
-// cancelWithin is that of the settings below: how long tasks of a cancelled job may remain.
+// cancelWithin is how long tasks of a cancelled job may remain, as in settingsTemplate.
 const cancelWithin = 40 * time.Second
 
-// slowestCancellation is the cancelled job whose tasks remained longest so far, if users were told of any.
+// slowestCancellation returns the cancelled job whose tasks remained longest so far, if any user was told of
+// a cancellation.
 func (w *world) slowestCancellation() (c history.Cancellation, found bool) {
 	w.em.Rules(func(*history.Checker) {
 		if all := w.cancellations.At(w.em.Since()); len(all) > 0 {
@@ -55,7 +56,7 @@
 	return c, found
 }
 
-// stateLimits are those of the settings below.
+// stateLimits are the limits of the state service in settingsTemplate.
 var stateLimits = emulator.Limits{ValueKB: 8, WriteRPS: 100, TxnOps: 12}
 
 func newWorld(t *testing.T, controllers int, nextLimits, accounts string) *world {
@@ -86,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.em.State.Pages(40) // small pages, so that paging is tested too
+	w.em.State.Pages(40) // small pages, so that paging is tested
 	w.em.Fronts(fronts)
 	w.start(w.names...)
 	return w
@@ -140,11 +141,13 @@
 fd_limit = 1000
 `
 
-// queueSettings are queues for batch scripts, in worlds with accounts.
+// queueSettings are the queues for batch scripts in worlds with accounts.
 const queueSettings = `(pbs
   (queue "work" (default true) (team "free") (class "batch") (image "img") (image-gb 3) (urgency "normal") (walltime "30") (mem-gb 4))
   (queue "bound" (team "bound") (class "batch") (image "img") (image-gb 3) (urgency "high") (walltime "30") (mem-gb 4)))`
 
+// loadSettings writes and loads the settings of a controller and gives the limits of the accounts to the
+// checker.
 func (w *world) loadSettings(name string) *config.Config {
 	siblings := ""
 	for _, n := range w.names {
@@ -177,7 +180,7 @@
 	return c
 }
 
-// start starts a controller as main does.
+// start starts controllers as main does.
 func (w *world) start(names ...string) {
 	for _, name := range names {
 		w.startOne(name)
@@ -201,7 +204,7 @@
 	}
 }
 
-// close ends the world; the rules must have held in it.
+// close ends the world and reports each violation of the safety rules.
 func (w *world) close() {
 	w.em.Rules(func(r *history.Checker) {
 		for _, v := range r.Violations() {
@@ -214,10 +217,10 @@
 	w.em.End()
 	w.net.Sever(func(string, string) bool { return true })
 	w.cancel()
-	time.Sleep(30 * time.Second) // all goroutines notice and end
+	time.Sleep(30 * time.Second) // time for all goroutines to notice and end
 }
 
-// noteAnswer notes what a user was noteAnswer, for the rules.
+// noteAnswer records the answer that a user got, for the checker.
 func (w *world) noteAnswer(kind history.Kind, job string, status int, answer string) {
 	w.em.Note(history.Event{Kind: kind, Job: job, Code: status, Status: answer})
 }
@@ -245,8 +248,8 @@
 	return resp.StatusCode, out, err
 }
 
-// askUntilAnswered asks the controllers one after the other, as a user does, until one
-// gives an answer that is final for the request.
+// askUntilAnswered asks the controllers in turn, as a user does, until one gives a final answer to the
+// request.
 func (w *world) askUntilAnswered(method, path string, body any) (int, protocol.JobStatus) {
 	for try := range 60 {
 		status, raw, err := w.call("user", method, "front-"+w.names[try%len(w.names)]+path, body, 5*time.Second)
