--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -170,7 +170,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 3, "", "")
-				defer w.close()
+				defer w.shutDown()
 				ended := map[string]chan struct{}{}
 				w.onEvent = func(e history.Event) {
 					if id, _, ok := protocol.SplitTask(e.Task); e.Kind == history.Off && e.Cause == protocol.CauseDone && ok && ended[id] != nil {
--- a/internal/coordination/bad_input_test.go
+++ b/internal/coordination/bad_input_test.go
@@ -83,7 +83,7 @@
 func TestBadInputIsNeverAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
-		defer w.close()
+		defer w.shutDown()
 		time.Sleep(4 * time.Second)
 		if err := w.submit([]string{"wk-1", "array", "1", "run=5s"}); err != nil {
 			t.Fatal(err)
@@ -132,7 +132,7 @@
 func TestFitIsUndecidedWithoutMachineTypes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
-		defer w.close()
+		defer w.shutDown()
 		w.em.CloudOutage(true)
 		time.Sleep(4 * time.Second)
 		for body, status := range invalidSubmissions() {
--- a/internal/coordination/moves_test.go
+++ b/internal/coordination/moves_test.go
@@ -101,7 +101,7 @@
 
 func moveAmid(t *testing.T, strikes func(*world, string, []string), at time.Duration) {
 	w := newWorld(t, 3, "", "")
-	defer w.close()
+	defer w.shutDown()
 	for k := range 12 {
 		if err := w.submit([]string{fmt.Sprintf("wk-%d", 10+k), "service", "1", "types=small", "cores=4", "ram=8"}); err != nil {
 			t.Fatal(err)
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -44,7 +44,7 @@
 func TestResubmittedScriptIsOneJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
-		defer w.close()
+		defer w.shutDown()
 		time.Sleep(3 * time.Second)
 		const script = "#!/bin/bash\n#PBS -N frames\n#PBS -J 10-30:10\n#PBS -l ncpus=2\n#PBS -v WHO='it is me'\n./x $PBS_ARRAY_INDEX\n"
 		id := w.uploadScript("key-1", "", script)
@@ -104,7 +104,7 @@
 func TestHeldJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
-		defer w.close()
+		defer w.shutDown()
 		time.Sleep(3 * time.Second)
 		const script = "#PBS -h -J 0-3\n./x\n"
 		id := w.uploadScript("held", "", script)
@@ -152,7 +152,7 @@
 func TestScriptsAndNativeJobsGetSameAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free" (cpus 0 16)) (account "free/a" (cpus 0 8) (ram 0 100))`)
-		defer w.close()
+		defer w.shutDown()
 		time.Sleep(3 * time.Second)
 		for k, options := range []string{"", "-l ncpus=8", "-l ncpus=9 -P free/a", "-l ncpus=17", "-l ncpus=64", "-l select=1:ngpus=9", "-P free/a", "-P free/b", "-P free/a -l mem=101gb",
 			"-q bound -l ncpus=8", "-q bound -l ncpus=9", "-q bound -l select=2:ncpus=8", "-l select=3:ncpus=6", "-J 0-99", "-W depend=afterok:999"} {
@@ -185,7 +185,7 @@
 func TestJobsStartAtRequestedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", `(account "free")`)
-		defer w.close()
+		defer w.shutDown()
 		time.Sleep(3 * time.Second)
 		const script = "./x\n"
 		options := "-l ncpus=2 -a " + time.Now().UTC().Add(2*time.Minute).Format("200601021504.05")
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/trace_test.go
@@ -89,7 +89,7 @@
 		}
 		if w == nil {
 			w = newWorld(t, controllers, nextLimits, accounts)
-			defer w.close()
+			defer w.shutDown()
 		}
 		if wait := at - time.Since(w.startedAt); wait > 0 {
 			time.Sleep(wait)
@@ -98,7 +98,7 @@
 			t.Errorf("line %d: %s: %v", number, lines.Text(), err)
 		}
 	}
-	if c, found := w.slowestCancellation(); found {
+	if c, any := w.slowestCancellation(); any {
 		t.Logf("slowest cancellation: %.2f of the time allowed; the tasks of %s were gone %v after its user was told, with %d starts after that",
 			float64(c.Lasted())/float64(cancelWithin), c.Job, c.Lasted().Round(time.Millisecond), c.StartedAfter)
 	}
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -47,13 +47,13 @@
 
 // slowestCancellation returns the cancelled job whose tasks remained longest so far, if any user was told of
 // a cancellation.
-func (w *world) slowestCancellation() (c history.Cancellation, found bool) {
+func (w *world) slowestCancellation() (c history.Cancellation, any bool) {
 	w.em.Rules(func(*history.Checker) {
 		if all := w.cancellations.At(w.em.Since()); len(all) > 0 {
-			c, found = all[0], true
+			c, any = all[0], true
 		}
 	})
-	return c, found
+	return c, any
 }
 
 // stateLimits are the limits of the state service in settingsTemplate.
@@ -204,8 +204,8 @@
 	}
 }
 
-// close ends the world and reports each violation of the safety rules.
-func (w *world) close() {
+// shutDown ends the world and reports each violation of the safety rules.
+func (w *world) shutDown() {
 	w.em.Rules(func(r *history.Checker) {
 		for _, v := range r.Violations() {
 			w.t.Error(v)
