--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -14,12 +14,12 @@
 func (o *Owner) followFeed(name string, h HolderCaller) {
 	var incarnation, since uint64
 	for o.ctx.Err() == nil {
-		var a FeedArgs
+		var args FeedArgs
 		if !o.ask(o.ctx, func() {
-			a = FeedArgs{Caller: o.cfg.Name, Fence: protocol.NewToken(o.session.Term(), o.peers[name].fence),
+			args = FeedArgs{Caller: o.cfg.Name, Fence: protocol.NewToken(o.session.Term(), o.peers[name].fence),
 				Incarnation: incarnation, Since: since, WaitMs: o.cfg.SummaryEvery.Milliseconds()}
 			if w := o.window(); w != nil {
-				a.Window = w.Number
+				args.Window = w.Number
 			}
 		}) {
 			return
@@ -28,24 +28,24 @@
 			pause(o.ctx, 100*time.Millisecond)
 			continue
 		}
-		var r board.News
+		var news board.News
 		sent := time.Now()
-		if err := h.Feed(o.ctx, a, &r); err != nil {
+		if err := h.Feed(o.ctx, args, &news); err != nil {
 			slog.Debug("feed request failed", "holder", name, "err", err)
 			o.tell(func() { o.peers[name].valid = false })
 			pause(o.ctx, 300*time.Millisecond)
 			continue
 		}
-		if name != o.cfg.Name && (r.Stray.Machine != "" || !r.TellsStrays) {
-			o.misrouted(r.Stray, r.TellsStrays, time.Now())
+		if name != o.cfg.Name && (news.Stray.Machine != "" || !news.TellsStrays) {
+			o.misrouted(news.Stray, news.TellsStrays, time.Now())
 		}
 		// The actor may run the function after followFeed has stopped waiting (its controller ends), so the
 		// two share no variable.
-		if applied, _ := askFor(o.ctx, &o.actor, func() bool { return o.applyNews(name, &a, &r, sent) }); !applied {
+		if applied, _ := askFor(o.ctx, &o.actor, func() bool { return o.applyNews(name, &args, &news, sent) }); !applied {
 			pause(o.ctx, notEntitledPause)
 			continue
 		}
-		incarnation, since = r.Incarnation, r.Version
+		incarnation, since = news.Incarnation, news.Version
 		pause(o.ctx, 20*time.Millisecond)
 	}
 }
@@ -58,40 +58,40 @@
 // news of a holder that is no longer entitled to its slots may be outdated, since other holders may hold the
 // slots and have started tasks there. Such a holder goes on sending news until it learns that its session
 // ended.
-func (o *Owner) applyNews(name string, a *FeedArgs, r *board.News, sent time.Time) (applied bool) {
+func (o *Owner) applyNews(name string, args *FeedArgs, news *board.News, sent time.Time) (applied bool) {
 	p := o.peers[name]
-	p.valid, p.heard = r.Valid, time.Now()
-	if r.ServedMs > 0 {
-		p.served = p.heard.Add(-time.Duration(r.ServedMs) * time.Millisecond)
+	p.valid, p.heard = news.Valid, time.Now()
+	if news.ServedMs > 0 {
+		p.served = p.heard.Add(-time.Duration(news.ServedMs) * time.Millisecond)
 	}
-	if !r.Valid && !r.Entitled {
+	if !news.Valid && !news.Entitled {
 		return false
 	}
-	p.incarnation, p.version, p.fed = r.Incarnation, r.Version, a.Fence.Term()
-	if w := o.window(); o.latest != nil && r.Window == o.latest.Number && w != nil && w.Number < r.Window {
+	p.incarnation, p.version, p.fed = news.Incarnation, news.Version, args.Fence.Term()
+	if w := o.window(); o.latest != nil && news.Window == o.latest.Number && w != nil && w.Number < news.Window {
 		o.adoptWindow(o.latest) // the holder has adopted it and refuses requests under older ones
 	}
-	kept := r.Machines[:0]
-	for _, m := range r.Machines {
+	kept := news.Machines[:0]
+	for _, m := range news.Machines {
 		if !o.gone.has(m.ID) {
 			kept = append(kept, m)
 		}
 	}
-	r.Machines = kept
-	for i := range r.Machines {
-		o.noteFailures(&r.Machines[i])
+	news.Machines = kept
+	for i := range news.Machines {
+		o.noteFailures(&news.Machines[i])
 	}
-	o.markStale(o.board.Apply(name, r, sent, time.Now()))
-	o.roomCame(r.Machines)
+	o.markStale(o.board.Apply(name, news, sent, time.Now()))
+	o.roomCame(news.Machines)
 	o.dirty = true
 	for at, ps := range o.quotas.orphanedStarts {
-		if o.startResolved(ps, name, a, r) {
+		if o.startResolved(ps, name, args, news) {
 			delete(o.quotas.orphanedStarts, at)
 		}
 	}
 	for id, js := range o.unclear {
 		for i, ps := range js.pending {
-			if o.startResolved(ps, name, a, r) {
+			if o.startResolved(ps, name, args, news) {
 				delete(js.pending, i)
 				js.stale = true
 			}
@@ -101,7 +101,7 @@
 				delete(o.unclear, id)
 			}
 		} else if js.known.Before(sent) {
-			o.noteCompleteSlots(js, a, r)
+			o.noteCompleteSlots(js, args, news)
 		}
 	}
 	return true
@@ -118,17 +118,17 @@
 }
 
 // startResolved reports whether the board shows a requested start by now, or surely never will.
-func (o *Owner) startResolved(ps *pendingStart, name string, a *FeedArgs, r *board.News) bool {
+func (o *Owner) startResolved(ps *pendingStart, name string, args *FeedArgs, news *board.News) bool {
 	s := o.board.Slots[ps.slot]
 	if s != nil && s.Term > ps.term && s.Complete {
 		return true // a new holder knows every task that is there
 	}
-	if name != ps.holder || !o.outcomeShown(ps, name, r.Incarnation, r.Version) {
+	if name != ps.holder || !o.outcomeShown(ps, name, news.Incarnation, news.Version) {
 		return false
 	}
 	// A start of unknown outcome is void once the holder has promised to refuse the request, unless the board
 	// shows it.
-	return ps.acked || ps.unknown && a.Fence > ps.id
+	return ps.acked || ps.unknown && args.Fence > ps.id
 }
 
 // outcomeShown reports whether news that the holder sent while it still held the slot cover its answer to the
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -102,9 +102,9 @@
 		return
 	}
 	l.writing = true
-	seen, me, lease := l.leader, bookkeeping.Leader{Name: l.cfg.Name, Term: l.session.Term()}, l.session.Lease()
+	previous, candidate, lease := l.leader, bookkeeping.Leader{Name: l.cfg.Name, Term: l.session.Term()}, l.session.Lease()
 	go func() {
-		l.store.Lead(l.ctx, seen, me, lease)
+		l.store.Lead(l.ctx, previous, candidate, lease)
 		pause(l.ctx, 300*time.Millisecond)
 		l.tell(func() { l.writing = false })
 	}()
@@ -144,9 +144,9 @@
 		slog.Info("slots are dealt anew", "moved for balance", next.Moved)
 	}
 	l.writing = true
-	leader, seen := l.leader, l.window
+	leader, previous := l.leader, l.window
 	go func() {
-		err := l.store.PublishWindow(l.ctx, leader, seen, *next)
+		err := l.store.PublishWindow(l.ctx, leader, previous, *next)
 		if err != nil {
 			slog.Debug("window not published", "number", next.Number, "err", err)
 			pause(l.ctx, 300*time.Millisecond)
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -79,8 +79,8 @@
 
 // adoptWindow adopts a window and determines which blocks this controller owns and since when.
 func (o *Owner) adoptWindow(w *bookkeeping.Window) {
-	cur := o.window()
-	if cur != nil && w.Number != cur.Number+1 {
+	current := o.window()
+	if current != nil && w.Number != current.Number+1 {
 		o.windows = nil // the windows between are unknown
 	}
 	if n := len(o.windows); n > 0 && o.windows[n-1].SameOwners(w) {
@@ -194,14 +194,14 @@
 	}
 	o.asking[window] = true
 	go func() {
-		rev, err := o.store.Revision(o.ctx)
+		revision, err := o.store.Revision(o.ctx)
 		o.tell(func() {
 			delete(o.asking, window)
 			if err == nil {
 				if len(o.born) > 64 {
 					clear(o.born)
 				}
-				o.born[window] = rev
+				o.born[window] = revision
 			}
 		})
 	}()
@@ -211,9 +211,9 @@
 // the given window; 0 if none is known yet.
 func (o *Owner) newJobRevision(gain uint64) uint64 {
 	best := uint64(0)
-	for g, rev := range o.born {
-		if g >= gain && (best == 0 || rev < best) {
-			best = rev
+	for window, revision := range o.born {
+		if window >= gain && (best == 0 || revision < best) {
+			best = revision
 		}
 	}
 	return best
--- a/internal/coordination/renting.go
+++ b/internal/coordination/renting.go
@@ -186,8 +186,8 @@
 		case !state.seen[id]:
 			booting[id] = !state.mayHaveTasks[id]
 		case l.booting[id] && age > 0:
-			times := append(l.bootTimes[m.Type], age)
-			l.bootTimes[m.Type] = times[max(0, len(times)-fleet.MaxBoots):]
+			bootTimes := append(l.bootTimes[m.Type], age)
+			l.bootTimes[m.Type] = bootTimes[max(0, len(bootTimes)-fleet.MaxBoots):]
 		}
 	}
 	l.booting = booting
@@ -201,16 +201,16 @@
 	}
 	l.listedAt = now
 	listed := map[string]protocol.Machine{}
-	from := ""
+	after := ""
 	for {
-		page, err := l.cloud.List(l.ctx, from)
+		page, err := l.cloud.List(l.ctx, after)
 		if err != nil {
 			slog.Debug("machine list not read", "err", err)
 			return
 		}
 		for _, m := range page.Machines {
 			listed[m.ID] = m
-			from = m.ID
+			after = m.ID
 		}
 		if !page.More || len(page.Machines) == 0 || len(listed) > 10000 {
 			break
--- a/internal/coordination/trace_faults_test.go
+++ b/internal/coordination/trace_faults_test.go
@@ -26,15 +26,15 @@
 	switch trouble {
 	case emulator.Hears, emulator.Speaks, emulator.Resumes, emulator.Rejoins:
 		for _, id := range w.randomMachines {
-			w.em.Strike(id, trouble) // the machine may have been returned meanwhile
+			w.em.Strike(id, trouble) // the machine may have been returned since
 		}
 		return nil
 	}
 	for waited := time.Duration(0); w.em.Running() < count && waited < runningMachinesTimeout; waited += time.Second {
 		time.Sleep(time.Second)
 	}
-	anywhere := func(string, bool) bool { return true }
-	w.randomMachines = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anywhere)
+	anyMachine := func(string, bool) bool { return true }
+	w.randomMachines = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anyMachine)
 	if count > 0 && len(w.randomMachines) != count {
 		return fmt.Errorf("%d machines", len(w.randomMachines))
 	}
@@ -56,7 +56,7 @@
 		}
 	})
 	if len(ids) == 0 {
-		return errors.New("it has no machines with tasks")
+		return errors.New("the controller has no machines with tasks")
 	}
 	var failed error
 	for _, id := range ids {
@@ -104,7 +104,7 @@
 	id := ""
 	w.em.Rules(func(r *history.Checker) { id = r.Machines(job)[index] })
 	if ends := emulator.Trouble(how); ends == emulator.Resumes || ends == emulator.Rejoins {
-		w.em.Strike(w.faulted[task], ends) // the machine may have been returned meanwhile
+		w.em.Strike(w.faulted[task], ends) // the machine may have been returned since
 		return nil
 	}
 	w.faulted[task] = id
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/trace_test.go
@@ -290,7 +290,7 @@
 	case "unhealthy": // unhealthy CONTROLLER: it tells the load balancer to send no requests
 		status, _, err := w.call("user", http.MethodGet, "front-"+args[0]+"/healthz", nil, 2*time.Second)
 		if err == nil && status == 200 {
-			err = errors.New("it is healthy")
+			err = errors.New("the controller reports itself healthy")
 		}
 		return err
 	case "shows": // shows CONTROLLER PATH WORDS: its answer to operators contains the words
@@ -311,7 +311,7 @@
 		return w.setQuotas(args[0], args[1], args[2:])
 	case "quota-refused": // as quota-set, and the change is refused
 		if err := w.setQuotas(args[0], args[1], args[2:]); err == nil {
-			return errors.New("it was taken")
+			return errors.New("the change was accepted")
 		}
 	case "limit-holds": // limit-holds ACCOUNT N: from now on the account may use at most N CPUs
 		n, err := strconv.ParseFloat(args[1], 64)
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -47,13 +47,13 @@
 
 // slowestCancellation returns the cancelled job whose tasks remained longest so far, if any user was told of
 // a cancellation.
-func (w *world) slowestCancellation() (c history.Cancellation, any bool) {
+func (w *world) slowestCancellation() (slowest history.Cancellation, any bool) {
 	w.em.Rules(func(*history.Checker) {
 		if all := w.cancellations.At(w.em.Since()); len(all) > 0 {
-			c, any = all[0], true
+			slowest, any = all[0], true
 		}
 	})
-	return c, any
+	return slowest, any
 }
 
 // stateLimits are the limits of the state service in settingsTemplate.
