--- a/internal/coordination/renting.go
+++ b/internal/coordination/renting.go
@@ -353,7 +353,7 @@
 			if err == nil {
 				return
 			}
-			slog.Debug("machines not registered", "batch", name, "err", err)
+			slog.Debug("machines not registered", "lot", name, "err", err)
 			pause(l.ctx, time.Second)
 		}
 	}()
