--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -33,7 +33,7 @@
 )
 
 func (p holderPeer) Announce(ctx context.Context, a AnnounceArgs) error {
-	return p.Call(ctx, membership.RequestTimeout, rpcName+".Announce", a, &Nothing{})
+	return p.Call(ctx, membership.RequestTimeout, holderServiceName+".Announce", a, &Nothing{})
 }
 
 // Announce records jobs that a sibling knows to be cancelled. It returns once no answer or command of this
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -36,20 +36,20 @@
 
 // summarizeFleet describes the fleet for the leader.
 func (o *Owner) summarizeFleet(ctx context.Context, now, started time.Time) *fleetState {
-	st := &fleetState{drained: map[string]uint64{}, holder: map[string]string{}, reg: map[string]*bookkeeping.Machine{}, seen: map[string]bool{}, up: map[string]bool{}}
+	st := &fleetState{drained: map[string]uint64{}, holder: map[string]string{}, registered: map[string]*bookkeeping.Machine{}, seen: map[string]bool{}, mayHaveTasks: map[string]bool{}}
 	ok := o.ask(ctx, func() {
 		// Without complete slots it is not known what is missing.
 		st.ready = o.window() != nil && o.board.AllComplete(o.slots, 0)
-		st.in.Types = o.machineTypes
-		st.in.Scarce = o.findScarceTypes()
+		st.input.Types = o.machineTypes
+		st.input.Scarce = o.findScarceTypes()
 		o.addRegisteredMachines(st)
 		o.addAwaitedMachines(st)
 		for id, m := range o.board.Machines {
 			if o.addReportedMachine(st, id, m) {
-				st.in.Machines = append(st.in.Machines, o.fleetMachine(id, m, now))
+				st.input.Machines = append(st.input.Machines, o.fleetMachine(id, m, now))
 			}
 		}
-		st.in.Demands = o.demands(now, started)
+		st.input.Demands = o.demands(now, started)
 		st.load = o.ringLoad(now)
 	})
 	if !ok {
@@ -62,9 +62,9 @@
 // tasks may run on them.
 func (o *Owner) addRegisteredMachines(st *fleetState) {
 	for id, m := range o.registeredMachines {
-		st.reg[id] = m
+		st.registered[id] = m
 		if o.board.Machines[id] == nil && o.rosters[ring.SlotOf(id, o.slots)][m.Number()] {
-			st.up[id] = true
+			st.mayHaveTasks[id] = true
 		}
 	}
 }
@@ -89,8 +89,8 @@
 	if st.holder[id] == "" {
 		st.holder[id] = m.Holder
 	}
-	if st.reg[id] == nil {
-		st.reg[id] = &bookkeeping.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+	if st.registered[id] == nil {
+		st.registered[id] = &bookkeeping.Machine{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	}
 	if m.Drained > 0 {
 		st.drained[id] = m.Drained
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -29,8 +29,8 @@
 	}
 	var candidate *board.Instance
 	for index, list := range o.board.Tasks[s.ID] {
-		sh := js.shareOf(index)
-		if sh == nil || !sh.settled {
+		sh := js.ownedBlockOf(index)
+		if sh == nil || !sh.priorStartsKnown {
 			return
 		}
 		var reservation, current *board.Instance
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -123,7 +123,7 @@
 	// done.
 	firstSeen, readyAt time.Time
 	// shares are the blocks of its tasks that this controller places, in order.
-	shares []*share
+	shares []*ownedBlock
 	// gainWindow is the window since which this controller has owned the job itself without a break, 0 if it
 	// does not own it. The job's owner has its first block, records its results and ends it.
 	gainWindow uint64
@@ -175,7 +175,7 @@
 func (o *Owner) Run() {
 	for name, h := range o.holders {
 		o.peers[name] = &peerState{}
-		go o.follow(name, h)
+		go o.followFeed(name, h)
 	}
 	o.loop(100*time.Millisecond, o.tick)
 }
@@ -188,7 +188,7 @@
 		o.jobs[id] = js
 		if !j.Final() {
 			o.active[id] = js
-			o.settle(js)
+			o.updateOwnedBlocks(js)
 		}
 	}
 	js.job, js.stale = j, true
@@ -244,7 +244,7 @@
 	o.removedMachines.add(id)
 	touched := map[string]bool{}
 	o.board.Remove(id, touched)
-	o.touched(touched)
+	o.markStale(touched)
 	for at, ps := range o.quotas.orphanedStarts {
 		if ps.machine == id {
 			delete(o.quotas.orphanedStarts, at)
@@ -270,13 +270,13 @@
 func (o *Owner) tick() {
 	now := time.Now()
 	if o.latestWindow != nil && (o.window() == nil || o.latestWindow.Number > o.window().Number) && now.UnixMilli() >= o.latestWindow.StartMs {
-		o.obey(o.latestWindow)
+		o.adoptWindow(o.latestWindow)
 	}
-	o.learnBorn()
+	o.learnNewJobRevision()
 	o.archiveJobs()
 	if now.Sub(o.judgedAt) >= time.Second {
 		o.judgedAt = now
-		o.touched(o.board.ExpireLost(now))
+		o.markStale(o.board.ExpireLost(now))
 		o.judgeJobs(now)
 		o.lookUpUnknownJobs()
 		o.logStandstill(now)
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -127,7 +127,7 @@
 		peers: map[string]*peerState{"c1": {}, "c2": {}}, unresolved: map[string]*jobState{}, active: map[string]*jobState{}, jobs: map[string]*jobState{}, unmetNeeds: map[needKind]unmetNeed{}}
 	o.session.term.Store(1)
 	js := &jobState{job: pendingJob("wk-1"), pending: map[int]*pendingStart{}, firstSeen: time.Now().Add(-time.Minute)}
-	js.shares = []*share{{to: 1, tenure: &tenure{gain: 4, seen: map[int]bool{}}}}
+	js.shares = []*ownedBlock{{end: 1, ownership: &ownership{gainWindow: 4, completeSlots: map[int]bool{}}}}
 	o.unresolved["wk-1"], o.active["wk-1"], o.jobs["wk-1"] = js, js, js
 	return o, js
 }
@@ -151,13 +151,13 @@
 func TestOnlyNewestHolderSettlesSlot(t *testing.T) {
 	o, js := newTestOwner(t)
 	request := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
-	o.feed("c2", request, holderNews(9, false), time.Now())
-	o.feed("c1", request, holderNews(5, true), time.Now())
-	if js.shares[0].settled {
+	o.applyNews("c2", request, holderNews(9, false), time.Now())
+	o.applyNews("c1", request, holderNews(5, true), time.Now())
+	if js.shares[0].priorStartsKnown {
 		t.Fatal("settled by news of a former holder")
 	}
-	o.feed("c2", request, holderNews(9, true, runningTask0), time.Now())
-	if !js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
+	o.applyNews("c2", request, holderNews(9, true, runningTask0), time.Now())
+	if !js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
 		t.Errorf("not settled by news of the newest holder, or its task is unknown: %+v", o.board.Tasks)
 	}
 }
@@ -167,17 +167,17 @@
 func TestNewsOfUnentitledHolderAreIgnored(t *testing.T) {
 	o, js := newTestOwner(t)
 	request := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
-	if !o.feed("c1", request, holderNews(5, false, runningTask0), time.Now()) {
+	if !o.applyNews("c1", request, holderNews(5, false, runningTask0), time.Now()) {
 		t.Fatal("news of an entitled holder are not believed")
 	}
 	stale := holderNews(5, true)
 	stale.Valid, stale.Full = false, true
-	if o.feed("c1", request, stale, time.Now()) || js.shares[0].settled || o.board.Tasks["wk-1"][0] == nil {
-		t.Errorf("believed: settled %v, tasks %v", js.shares[0].settled, o.board.Tasks)
+	if o.applyNews("c1", request, stale, time.Now()) || js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
+		t.Errorf("believed: settled %v, tasks %v", js.shares[0].priorStartsKnown, o.board.Tasks)
 	}
 	stale.Entitled = true // all siblings granted it a moratorium
-	if !o.feed("c1", request, stale, time.Now()) || !js.shares[0].settled || o.board.Tasks["wk-1"] != nil {
-		t.Errorf("not believed: settled %v, tasks %v", js.shares[0].settled, o.board.Tasks)
+	if !o.applyNews("c1", request, stale, time.Now()) || !js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"] != nil {
+		t.Errorf("not believed: settled %v, tasks %v", js.shares[0].priorStartsKnown, o.board.Tasks)
 	}
 }
 
