--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -191,7 +191,7 @@
 	if machines == nil {
 		return
 	}
-	slog.Info("machines reserved in advance for a gang", "job", s.ID, "tasks", s.Tasks, "waited", now.Sub(js.job.Ready))
+	slog.Info("what comes free is kept for a gang", "job", s.ID, "tasks", s.Tasks, "waited", now.Sub(js.job.Ready))
 	js.advanceSince, js.advanceRenewedAt = now, now
 	attempt = cmp.Or(attempt, o.newAttempt())
 	for index, m := range machines {
