--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -57,7 +57,7 @@
 		return out
 	})
 	if !ok || known == nil {
-		return "", ErrLater
+		return "", ErrRetryLater
 	}
 	if err := k.readUnknownNeeds(ctx, spec, known); err != nil {
 		return "", err
@@ -94,7 +94,7 @@
 			listed[id], err = k.store.ReadJob(ctx, id)
 		}
 		if err != nil {
-			return ErrLater
+			return ErrRetryLater
 		}
 		if listed[id] == nil {
 			return nil // the submission is refused for this job alone
@@ -120,7 +120,7 @@
 
 // addFinalJob adds a final job that the replica does not have.
 func (k *Controller) addFinalJob(j *bookkeeping.Job) {
-	j.Seat = Place(k.cfg, j.Spec)
+	j.Seat = SeatFor(k.cfg, j.Spec)
 	k.holder.tell(func() {
 		if k.holder.jobs[j.Spec.ID] == nil {
 			k.holder.jobChanged(j)
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -149,7 +149,7 @@
 	if t == nil || !t.Limits(js.job.Spec.Need()) {
 		return t != nil
 	}
-	if o.bornBy(js.gainWindow) == 0 {
+	if o.newJobRevision(js.gainWindow) == 0 {
 		return false // some running tasks may not be known yet
 	}
 	if o.blockedByTurn(js, t.Name) {
@@ -237,13 +237,13 @@
 // remainingTasks yields the tasks of settled blocks in which some are neither done nor started.
 func (js *jobState) remainingTasks(yield func(int) bool) {
 	for _, sh := range js.shares {
-		if !sh.settled || sh.left <= 0 {
+		if !sh.priorStartsKnown || sh.missing <= 0 {
 			continue
 		}
-		for sh.low < sh.to && js.job.TaskDone(sh.low) {
-			sh.low++
+		for sh.doneBefore < sh.end && js.job.TaskDone(sh.doneBefore) {
+			sh.doneBefore++
 		}
-		for index := sh.low; index < sh.to; index++ {
+		for index := sh.doneBefore; index < sh.end; index++ {
 			if !yield(index) {
 				return
 			}
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -132,7 +132,7 @@
 		default:
 			pendingStarts[k].acked, pendingStarts[k].ackIncarnation, pendingStarts[k].ackVersion = true, r.Incarnation, r.Version
 			// The feed may have shown the start before the reply came.
-			if p := o.peers[name]; o.shown(pendingStarts[k], name, p.incarnation, p.version) {
+			if p := o.peers[name]; o.outcomeShown(pendingStarts[k], name, p.incarnation, p.version) {
 				delete(js.pending, index)
 			}
 		}
--- a/internal/coordination/trace_faults_test.go
+++ b/internal/coordination/trace_faults_test.go
@@ -14,36 +14,36 @@
 	"daledyke/internal/ring"
 )
 
-// Steps of traces that have something fail.
+// Trace steps that inject faults.
 
-// moreMachinesWithin is for how long a step of a trace waits for as many machines as it strikes.
-const moreMachinesWithin = 30 * time.Second
+// runningMachinesTimeout is how long a step waits until as many machines run as it injects a fault into.
+const runningMachinesTimeout = 30 * time.Second
 
-// strikeSome has something happen to so many machines that run (0: to all), or ends it for those
-// that were struck last. Who restarts when decides how many machines that hung for a while are given
-// up: where too few run at the moment, it waits until those that replace them are up.
-func (w *world) strikeSome(count int, trouble emulator.Trouble) error {
+// faultRandomMachines injects a fault into count running machines drawn at random (0: all), or ends it for
+// the machines drawn last. Which controllers restart, and when, determines how many machines that hung for a
+// while are given up; if too few machines run at the moment, the step waits until replacements are up.
+func (w *world) faultRandomMachines(count int, trouble emulator.Trouble) error {
 	switch trouble {
 	case emulator.Hears, emulator.Speaks, emulator.Resumes, emulator.Rejoins:
-		for _, id := range w.some {
-			w.em.Strike(id, trouble) // it may have been returned meanwhile
+		for _, id := range w.randomMachines {
+			w.em.Strike(id, trouble) // the machine may have been returned since
 		}
 		return nil
 	}
-	for waited := time.Duration(0); w.em.Running() < count && waited < moreMachinesWithin; waited += time.Second {
+	for waited := time.Duration(0); w.em.Running() < count && waited < runningMachinesTimeout; waited += time.Second {
 		time.Sleep(time.Second)
 	}
-	anywhere := func(string, bool) bool { return true }
-	w.some = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anywhere)
-	if count > 0 && len(w.some) != count {
-		return fmt.Errorf("%d machines", len(w.some))
+	anyMachine := func(string, bool) bool { return true }
+	w.randomMachines = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anyMachine)
+	if count > 0 && len(w.randomMachines) != count {
+		return fmt.Errorf("%d machines", len(w.randomMachines))
 	}
 	return nil
 }
 
-// strikeHome has something happen to all machines with tasks whose slots are a controller's if all
-// controllers are there.
-func (w *world) strikeHome(controller string, trouble emulator.Trouble) error {
+// faultMachinesOf injects a fault into all machines with tasks whose slots the controller holds when all
+// controllers are up.
+func (w *world) faultMachinesOf(controller string, trouble emulator.Trouble) error {
 	var ids []string
 	w.em.Rules(func(r *history.Checker) {
 		for _, job := range r.Running() {
@@ -56,7 +56,7 @@
 		}
 	})
 	if len(ids) == 0 {
-		return errors.New("it has no machines with tasks")
+		return errors.New("the controller has no machines with tasks")
 	}
 	var failed error
 	for _, id := range ids {
@@ -65,7 +65,8 @@
 	return failed
 }
 
-func (w *world) cut(args []string) {
+// cutController cuts the connections of a controller to the given peers, or ends all cuts.
+func (w *world) cutController(args []string) {
 	if args[0] == "off" {
 		w.net.Sever(func(string, string) bool { return false })
 		return
@@ -83,29 +84,29 @@
 	})
 }
 
-// cutZone cuts the machines of a zone, and one controller with them, from all that is not there.
+// cutZone isolates the machines of a zone, together with one controller, from everything outside the zone.
 func (w *world) cutZone(zone, controller string) {
 	isInside := func(host string) bool {
 		return host == controller || strings.HasPrefix(host, "host-") && w.em.ZoneOf(host) == zone
 	}
 	w.net.Sever(func(from, to string) bool {
 		name := strings.TrimSuffix(to, ":1")
-		for _, role := range []string{"front-", "inner-", "worker-"} { // of the services none belongs to a zone
+		for _, role := range []string{"front-", "inner-", "worker-"} { // the services belong to no zone
 			name = strings.TrimPrefix(name, role)
 		}
 		return isInside(from) != isInside(name)
 	})
 }
 
-// strike does something to the machine that a task is on.
-func (w *world) strike(task, how string) error {
+// faultMachineOfTask injects a fault into the machine that a task is on, or ends it.
+func (w *world) faultMachineOfTask(task, how string) error {
 	job, index, _ := protocol.SplitTask(task)
 	id := ""
 	w.em.Rules(func(r *history.Checker) { id = r.Machines(job)[index] })
 	if ends := emulator.Trouble(how); ends == emulator.Resumes || ends == emulator.Rejoins {
-		w.em.Strike(w.struck[task], ends) // it may have been returned meanwhile
+		w.em.Strike(w.faulted[task], ends) // the machine may have been returned since
 		return nil
 	}
-	w.struck[task] = id
+	w.faulted[task] = id
 	return w.em.Strike(id, emulator.Trouble(how))
 }
--- a/internal/lab/runner.go
+++ b/internal/lab/runner.go
@@ -11,25 +11,25 @@
 	"strings"
 )
 
-// Runs are played by processes of their own, whose results are read back.
+// Each run executes in a child process, which leaves its results in files.
 
-// Runner has runs played, each by a process of its own, and keeps their results.
+// Runner executes the runs of an experiment, each in a child process, and stores their results.
 type Runner struct {
-	// Dir is the result's directory.
+	// Dir is the directory for the result.
 	Dir string
-	// Play is the command line that plays the run in the directory that is added to it,
-	// and prints its progress as shares, a line each.
-	Play []string
-	// AtOnce is how many runs play at the same time; 0: as many as fit.
-	AtOnce int
-	// Progress is told of the share that is done of all; it may be nil.
+	// Command is the command line of the child process. The run's directory is appended to it; the process
+	// prints its progress as fractions, one per line.
+	Command []string
+	// Parallel is the number of concurrent runs; 0 selects it by the number of CPUs.
+	Parallel int
+	// Progress receives the completed fraction of all runs; it may be nil.
 	Progress func(share float64)
 }
 
-// ErrNotEmpty says that a result's directory holds something already.
+// ErrNotEmpty reports that the directory for results is not empty.
 var ErrNotEmpty = errors.New("the directory for results is not empty")
 
-// Run plays all runs of an experiment.
+// Run executes all runs of an experiment and writes the result.
 func (r *Runner) Run(ctx context.Context, e *Experiment) (*Result, error) {
 	if found, err := os.ReadDir(r.Dir); err == nil && len(found) > 0 {
 		return nil, fmt.Errorf("%s: %w", r.Dir, ErrNotEmpty)
@@ -41,53 +41,52 @@
 		return nil, err
 	}
 	runs := e.Runs()
-	atOnce := r.AtOnce
-	if atOnce <= 0 {
-		// In real time runs would disturb each other; in virtual time they use one or two
-		// cores each.
-		if atOnce = max(1, runtime.NumCPU()/2); e.Real {
-			atOnce = 1
+	parallel := r.Parallel
+	if parallel <= 0 {
+		// Concurrent runs in real time would disturb each other; a run in virtual time uses one or two cores.
+		if parallel = max(1, runtime.NumCPU()/2); e.RealTime {
+			parallel = 1
 		}
 	}
-	type news struct {
-		n     int
-		share float64
-		sum   *Summary
-		err   error
-		over  bool
+	type update struct {
+		n        int
+		share    float64
+		sum      *Summary
+		err      error
+		finished bool
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	told := make(chan news)
-	slots := make(chan struct{}, atOnce)
+	updates := make(chan update)
+	running := make(chan struct{}, parallel)
 	for n, run := range runs {
 		go func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			sum, err := r.play(ctx, run, func(share float64) { told <- news{n: n, share: share} })
-			told <- news{n: n, sum: sum, err: err, over: true}
+			running <- struct{}{}
+			defer func() { <-running }()
+			sum, err := r.executeInChild(ctx, run, func(share float64) { updates <- update{n: n, share: share} })
+			updates <- update{n: n, sum: sum, err: err, finished: true}
 		}()
 	}
 	shares := make([]float64, len(runs))
-	res := &Result{Experiment: e.String(), Runs: make([]Summary, len(runs))}
+	result := &Result{Experiment: e.String(), Runs: make([]Summary, len(runs))}
 	var failed error
-	for left := len(runs); left > 0; {
-		t := <-told
+	for remaining := len(runs); remaining > 0; {
+		u := <-updates
 		switch {
-		case t.err != nil:
+		case u.err != nil:
 			if failed == nil {
-				cancel() // the first fault ends all
+				cancel() // the first failure stops all runs
 			}
-			if failed == nil || !errors.Is(t.err, context.Canceled) {
-				failed = errors.Join(failed, fmt.Errorf("run %s: %w", runs[t.n].Name, t.err))
+			if failed == nil || !errors.Is(u.err, context.Canceled) {
+				failed = errors.Join(failed, fmt.Errorf("run %s: %w", runs[u.n].Name, u.err))
 			}
-		case t.over:
-			res.Runs[t.n], shares[t.n] = *t.sum, 1
+		case u.finished:
+			result.Runs[u.n], shares[u.n] = *u.sum, 1
 		default:
-			shares[t.n] = t.share
+			shares[u.n] = u.share
 		}
-		if t.over {
-			left--
+		if u.finished {
+			remaining--
 		}
 		if r.Progress != nil {
 			done := 0.0
@@ -100,11 +99,11 @@
 	if failed != nil {
 		return nil, failed
 	}
-	return res, writeJSON(filepath.Join(r.Dir, resultFile), res)
+	return result, writeJSON(filepath.Join(r.Dir, resultFile), result)
 }
 
-// play has one run played.
-func (r *Runner) play(ctx context.Context, run Run, progress func(float64)) (*Summary, error) {
+// executeInChild executes one run in a child process.
+func (r *Runner) executeInChild(ctx context.Context, run Run, progress func(float64)) (*Summary, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -115,7 +114,7 @@
 	if err := writeJSON(filepath.Join(dir, runFile), run); err != nil {
 		return nil, err
 	}
-	took, memory, err := child(ctx, append(r.Play[:len(r.Play):len(r.Play)], dir), filepath.Join(dir, logFile), progress)
+	took, memory, err := runCommand(ctx, append(r.Command[:len(r.Command):len(r.Command)], dir), filepath.Join(dir, logFile), progress)
 	if err != nil {
 		return nil, err
 	}
@@ -133,8 +132,8 @@
 
 func readRun(dir string) (*Run, error) { return readJSON[Run](filepath.Join(dir, runFile)) }
 
-// ReadResult reads the result in a directory. One that was cut short has no result.json
-// and is refused, and so is one whose runs have changed.
+// ReadResult reads the result in a directory. It rejects an incomplete result, which has no result.json, and
+// one with an invalid experiment or run name.
 func ReadResult(dir string) (*Result, error) {
 	r, err := readJSON[Result](filepath.Join(dir, resultFile))
 	if errors.Is(err, os.ErrNotExist) {
@@ -166,7 +165,7 @@
 	return v, nil
 }
 
-// Result is what all runs of an experiment came to.
+// Result holds the summaries of all runs of an experiment.
 type Result struct {
 	Experiment string    `json:"experiment"`
 	Runs       []Summary `json:"runs"`
