--- a/cmd/daledyke/status.go
+++ b/cmd/daledyke/status.go
@@ -80,7 +80,7 @@
 	line := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
 	line("controller", "%s in %s, up %v, generation %d", v.Controller, v.Zone, protocol.Seconds(v.UpS).Round(time.Second), v.Generation)
 	line("session", "%s, term %d, may act for %v more%s", yesNo(v.Session.Valid, "valid", yesNo(v.Holds.Answers, "not valid: answers workers on promises", "NOT VALID: answers workers 503")),
-		v.Session.Term, protocol.Seconds(v.Session.LeftS), yesNo(v.Session.Deaf, "; its workers can't reach it", ""))
+		v.Session.Term, protocol.Seconds(v.Session.LeftS), yesNo(v.Session.WorkersUnreachable, "; its workers can't reach it", ""))
 	line("cancellations", "all known up to %v ago", protocol.Seconds(v.Holds.HorizonS).Round(100*time.Millisecond))
 	if v.Window == nil {
 		line("window", "none yet")
@@ -130,7 +130,7 @@
 		}
 	}
 	line("changes", "%s", strings.Join(changes, ", "))
-	line("jobs", "%d active, %d owned here, %d in chains", v.Jobs.Active, v.Jobs.Owned, v.Jobs.Chained)
+	line("jobs", "%d active, %d owned here, %d in chains", v.Jobs.Active, v.Jobs.Owned, v.Jobs.WithDependencies)
 	for _, reason := range slices.Sorted(maps.Keys(v.Jobs.Waiting)) {
 		line("waiting", "%d: %s", v.Jobs.Waiting[reason], reason)
 	}
--- a/internal/balance/vacate.go
+++ b/internal/balance/vacate.go
@@ -43,7 +43,7 @@
 	v := plan{in: in, expensiveTypes: placement.ExpensiveTypesCache(in.Types), freeRoom: map[string]float64{}, count: map[string]int{}, emptied: map[*fleet.Machine]bool{}, receives: map[*fleet.Machine]bool{}}
 	for _, m := range in.Machines {
 		if capacity := v.capacity(m); !m.Booting && !m.Draining {
-			v.freeRoom[m.Type] += 1 - min(1, capacity.Sub(m.Free).Sub(m.FillerRoom).Share(capacity))
+			v.freeRoom[m.Type] += 1 - min(1, capacity.Sub(m.Free).Sub(m.FillerRoom).DominantShare(capacity))
 			v.count[m.Type]++
 		}
 	}
@@ -122,12 +122,12 @@
 
 // unusedCost is what the unused part of a machine costs an hour.
 func (v *plan) unusedCost(m *fleet.Machine) float64 {
-	return v.price(m) * m.Free.Share(v.capacity(m))
+	return v.price(m) * m.Free.DominantShare(v.capacity(m))
 }
 
 // replicaCost is what the share of a machine that a replica takes costs an hour.
 func (v *plan) replicaCost(m *fleet.Machine, s *protocol.JobSpec) float64 {
-	return v.price(m) * s.Need().Share(v.capacity(m))
+	return v.price(m) * s.Need().DominantShare(v.capacity(m))
 }
 
 // allExpensive reports whether all replicas on a machine cost far more there than elsewhere.
@@ -145,7 +145,7 @@
 			_, fetch := fleet.FastestReady(v.in.Types, r.Spec, r.Spec.ImageGB)
 			downtime += fetch
 		}
-		cost += v.price(m) * r.Spec.Need().Share(capacity) * downtime.Seconds() * downtimeCost
+		cost += v.price(m) * r.Spec.Need().DominantShare(capacity) * downtime.Seconds() * downtimeCost
 	}
 	return gain > cost
 }
@@ -183,7 +183,7 @@
 			if v.in.Scarce[t.Type] && !v.in.Scarce[m.Type] && placement.HasNonScarceType(r.Spec, v.in.Types, v.in.Scarce) {
 				continue
 			}
-			score := t.Free.Sub(r.Spec.Need()).Share(v.capacity(t))
+			score := t.Free.Sub(r.Spec.Need()).DominantShare(v.capacity(t))
 			if !slices.Contains(t.Images, r.Spec.Image) {
 				score++
 			}
--- a/internal/bookkeeping/blocks_test.go
+++ b/internal/bookkeeping/blocks_test.go
@@ -8,29 +8,28 @@
 	"daledyke/internal/protocol"
 )
 
-// However many controllers there are and wherever a job lies, its tasks are each in one
-// block, and its blocks are shared out equally: no owner has more than one above another,
-// but for what is left of the last.
-func TestBlocksAreSharedOutEqually(t *testing.T) {
+// For any number of controllers and any position of a job, each task is in exactly one block, and the numbers of
+// blocks per owner differ by at most two: one from the division of the ring and one from the last, partial block.
+func TestBlocksAreDividedEqually(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(t, "controllers")
-		w := &Window{Divided: true}
+		w := &Window{BlockOwners: true}
 		for k := range n {
 			w.Owners = append(w.Owners, string(rune('a'+k)))
 		}
 		s := &protocol.JobSpec{ID: rapid.StringMatching(`wk-[0-9]{1,9}`).Draw(t, "id"), Shape: protocol.Array, Tasks: rapid.IntRange(1, protocol.MaxTasks).Draw(t, "tasks")}
-		j := &Job{Spec: s, Seat: Seat{Token: protocol.RingToken(s.ID), Blocks: BlocksOf(s)}}
+		j := &Job{Spec: s, RingPosition: RingPosition{Token: protocol.RingToken(s.ID), Blocks: BlockCount(s)}}
 		blocks, next := map[string]int{}, 0
 		for b := range j.Blocks {
-			from, to := j.Block(b)
+			from, to := j.BlockRange(b)
 			if from != next || to-from > BlockTasks {
-				t.Fatalf("block %d is %d to %d", b, from, to)
+				t.Fatalf("block %d has tasks %d to %d", b, from, to)
 			}
 			if next = to; from == to {
 				continue
 			}
 			if j.BlockOf(from) != b || j.BlockOf(to-1) != b || w.OwnerOf(j, from) != w.OwnerOfBlock(j, b) {
-				t.Fatalf("tasks %d to %d are not all of block %d", from, to, b)
+				t.Fatalf("tasks %d to %d are not all in block %d", from, to, b)
 			}
 			blocks[w.OwnerOfBlock(j, b)]++
 		}
@@ -42,21 +41,21 @@
 			least, most = min(least, blocks[name]), max(most, blocks[name])
 		}
 		if most-least > 2 {
-			t.Fatalf("%d to %d blocks of %d an owner", least, most, j.Blocks)
+			t.Fatalf("owners have between %d and %d of %d blocks", least, most, j.Blocks)
 		}
-		w.Divided = false
+		w.BlockOwners = false
 		if w.OwnerOf(j, s.Tasks-1) != w.Owner(j.Token) {
-			t.Fatal("undivided, all is the job's owner's")
+			t.Fatal("without BlockOwners, the job's owner must own every task")
 		}
-		// Until all know that it stands apart from its team, it does not.
-		w.Divided, j.Joint, j.JointToken = true, true, protocol.RingToken("team")
-		if w.OwnerOf(j, 0) != w.Owner(j.JointToken) || w.OwnerOf(j, s.Tasks-1) != w.Owner(j.JointToken) {
-			t.Fatal("it stands apart too early")
+		// While the window is without OwnPositions, the job stays at its team's position.
+		w.BlockOwners, j.TeamFallback, j.TeamToken = true, true, protocol.RingToken("team")
+		if w.OwnerOf(j, 0) != w.Owner(j.TeamToken) || w.OwnerOf(j, s.Tasks-1) != w.Owner(j.TeamToken) {
+			t.Fatal("the job has its own position in a window without OwnPositions")
 		}
 		apart := *w
-		apart.Apart = true
+		apart.OwnPositions = true
 		if apart.OwnerOf(j, 0) != w.Owner(j.Token) || apart.OwnerOf(j, s.Tasks-1) != w.Owner(j.BlockToken(j.Blocks-1)) || w.SameOwners(&apart) {
-			t.Fatal("it stands apart")
+			t.Fatal("the job is not at its own position in a window with OwnPositions")
 		}
 	})
 }
@@ -71,11 +70,11 @@
 				tasks = append(tasks, i)
 			}
 		}
-		j = j.withChunk(c, Chunk{Bits: marked(nil, tasks), Version: 1})
+		j = j.withChunk(c, Chunk{Bits: withTaskBits(nil, tasks), Version: 1})
 	}
 	for _, x := range []struct{ from, to, want int }{{0, 20_000, len(done)}, {0, 8, 2}, {1, 8, 1}, {7, 9, 2}, {301, ChunkTasks, 1}, {ChunkTasks - 1, ChunkTasks + 1, 2}, {5, 5, 0}, {2*ChunkTasks + 2, 20_000, 0}} {
 		if got := j.DoneIn(x.from, x.to); got != x.want {
-			t.Errorf("%d to %d: %d done, want %d", x.from, x.to, got, x.want)
+			t.Errorf("tasks %d to %d: %d done, want %d", x.from, x.to, got, x.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/bookkeeping/dependencies.go
@@ -0,0 +1,387 @@
+package bookkeeping
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"daledyke/internal/protocol"
+)
+
+// Dependencies between jobs. No state derived from dependencies is recorded: every controller computes it by
+// the same rules along the edges between jobs, so that the record of one cancelled job cancels any number of
+// jobs that need it.
+
+// Urgency is how urgently a job has to end.
+type Urgency struct {
+	Rank int // of the job's priority
+	// Filler: nobody waits for the job.
+	Filler bool
+	// Deadline is when the job has to be over, zero if it has no deadline.
+	Deadline time.Time
+}
+
+// DependencyState is what follows for a job from the jobs that it needs and from those that need it.
+type DependencyState struct {
+	// WaitingOn is the number of needed jobs that are not known to be done, plus one while the job is held
+	// or delayed. NeedsUnknown: this controller knows nothing at all about some of them.
+	WaitingOn    int
+	NeedsUnknown bool
+	// Ready is when the last needed job ended, at the earliest when the job was accepted; zero while the job
+	// waits.
+	Ready time.Time
+	// CancelledWith is the job whose cancellation cancelled this one.
+	CancelledWith string
+	// Urgency is the job's own, or that of unfinished jobs that need it.
+	Urgency
+	// HasDependents: at least one job names this one as needed and its own record is not final yet.
+	HasDependents bool
+	// WaitsFor are some of the jobs that this one waits for, NeededBy some of those that wait for it.
+	WaitsFor, NeededBy []string
+}
+
+// maxListedJobs limits the jobs listed in WaitsFor and in NeededBy.
+const maxListedJobs = 16
+
+// Further states of a job that another one names.
+const (
+	stateUnknown       = ""      // this replica knows nothing about the job
+	stateNeverAccepted = "never" // the job was never accepted: the record that names it is invalid
+)
+
+// node is a job that names others or that others name.
+type node struct {
+	id string
+	// job is the job as its record was last seen, nil if the replica does not have it.
+	job *Job
+	// state is the effective state, see Job.State.
+	state         string
+	cancelledWith string // the job whose cancellation cancelled this one
+	ended         time.Time
+	needs         []*node
+	// dependents are the jobs that name this one and whose records are not final.
+	dependents map[*node]bool
+	// unmet is the number of needs that are not done, unknown the number of those whose state is unknown.
+	// ready is when the last of the needs that are done ended.
+	unmet, unknown      int
+	ready               time.Time
+	ownUrgency, urgency Urgency
+}
+
+func final(state string) bool { return state == protocol.Done || state == protocol.Cancelled }
+
+// expectedDuration is how long a job is expected to take from when it can start.
+func expectedDuration(j *Job) time.Duration { return j.Spec.Estimate() + interJobDelay }
+
+// interJobDelay is the expected time from the end of one job to the start of the next: reporting results,
+// writing records and placement.
+const interJobDelay = 2 * time.Second
+
+// dependencyGraph is the graph of jobs that name one another. Valid jobs name only jobs that were accepted
+// earlier, so valid records form no cycles. All traversals are iterative, since dependency chains may be long.
+type dependencyGraph struct {
+	links map[string]*node
+	// unknown are the jobs that others name and that the replica knows nothing about.
+	unknown map[string]bool
+	// urgencyOf returns a job's own urgency.
+	urgencyOf func(*Job) Urgency
+	// changed collects the jobs whose dependency state has changed.
+	changed map[*node]bool
+}
+
+func newDependencyGraph(weigh func(*Job) Urgency) *dependencyGraph {
+	return &dependencyGraph{links: map[string]*node{}, unknown: map[string]bool{}, urgencyOf: weigh, changed: map[*node]bool{}}
+}
+
+// update takes in a job as its record has it, and returns the other jobs whose dependency state changed. lookup
+// returns the replica's version of a job.
+func (c *dependencyGraph) update(j *Job, lookup func(id string) *Job) []string {
+	id := j.Spec.ID
+	l := c.links[id]
+	switch {
+	case l == nil && (len(j.Spec.Needs) == 0 || final(j.RecordedState)):
+		return nil
+	case l != nil && l.job != nil && l.job.RecordedState == j.RecordedState:
+		l.job = j // only the results changed, or the record was archived
+		return nil
+	case l == nil:
+		l = c.node(id)
+	}
+	isNew := l.job == nil
+	l.job = j
+	delete(c.unknown, id)
+	switch {
+	case final(j.RecordedState):
+		c.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
+		c.disconnect(l)
+	case isNew:
+		l.ownUrgency = c.urgencyOf(j)
+		c.connect(l, lookup)
+		c.setState(l, protocol.Pending, "", time.Time{})
+		l.urgency = c.effectiveUrgency(l)
+		c.raiseNeeds(l)
+	}
+	return c.takeChanged(l)
+}
+
+// resolve takes in the result of looking up a job that the replica does not have. A nil job was never accepted.
+func (c *dependencyGraph) resolve(id string, j *Job) []string {
+	l := c.links[id]
+	if l == nil || l.state != stateUnknown {
+		delete(c.unknown, id)
+		return nil
+	}
+	switch {
+	case j == nil:
+		delete(c.unknown, id)
+		c.setState(l, stateNeverAccepted, "", time.Time{})
+	case final(j.RecordedState):
+		delete(c.unknown, id)
+		c.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
+	}
+	return c.takeChanged(nil)
+}
+
+// takeChanged returns the jobs whose dependency state changed, except the given one, and clears the set.
+func (c *dependencyGraph) takeChanged(except *node) (ids []string) {
+	for l := range c.changed {
+		if l != except && l.job != nil {
+			ids = append(ids, l.id)
+		}
+	}
+	clear(c.changed)
+	return ids
+}
+
+func (c *dependencyGraph) node(id string) *node {
+	l := c.links[id]
+	if l == nil {
+		l = &node{id: id, dependents: map[*node]bool{}}
+		c.links[id] = l
+	}
+	return l
+}
+
+// connect links a job to the jobs that it names.
+func (c *dependencyGraph) connect(l *node, lookup func(id string) *Job) {
+	for _, id := range l.job.Spec.Needs {
+		n := c.links[id]
+		if n == nil {
+			n = c.node(id)
+			if j := lookup(id); j != nil {
+				n.job, n.state, n.cancelledWith, n.ended, n.ownUrgency = j, j.State, j.CancelledWith, j.Ended, c.urgencyOf(j)
+				n.urgency = n.ownUrgency
+			} else {
+				c.unknown[id] = true
+			}
+		}
+		l.needs = append(l.needs, n)
+		n.dependents[l] = true
+		c.changed[n] = true
+		l.unmet++
+		c.countNeed(l, n)
+		if n.state == stateUnknown {
+			l.unknown++
+		}
+	}
+	for _, n := range l.needs {
+		if n.state == protocol.Cancelled {
+			c.setState(l, protocol.Cancelled, cmp.Or(n.cancelledWith, n.id), n.ended)
+			return
+		}
+	}
+}
+
+// countNeed updates the counters of a job for the current state of a job n that it needs.
+func (c *dependencyGraph) countNeed(l, n *node) {
+	if n.state == protocol.Done {
+		l.unmet--
+		if n.ended.After(l.ready) {
+			l.ready = n.ended
+		}
+	}
+	c.changed[l] = true
+}
+
+// setState sets the state of a job and propagates it to the jobs that name it. Final states never change.
+func (c *dependencyGraph) setState(l *node, state, root string, ended time.Time) {
+	type step struct {
+		l           *node
+		state, root string
+		ended       time.Time
+	}
+	for pending := []step{{l, state, root, ended}}; len(pending) > 0; {
+		s := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		l, was := s.l, s.l.state
+		if final(was) || was == s.state {
+			continue
+		}
+		l.state, l.ended = s.state, s.ended
+		if l.state == protocol.Cancelled {
+			l.cancelledWith = cmp.Or(s.root, l.id)
+		}
+		c.changed[l] = true
+		for a := range l.dependents {
+			if was == stateUnknown {
+				a.unknown--
+			}
+			c.countNeed(a, l)
+			if l.state == protocol.Cancelled {
+				pending = append(pending, step{a, protocol.Cancelled, l.cancelledWith, l.ended})
+			}
+		}
+		if final(l.state) {
+			for _, n := range l.needs {
+				c.recomputeUrgency(n)
+			}
+		}
+	}
+}
+
+// disconnect unlinks a job whose record is final from the jobs that it named, and removes nodes that no other
+// job names any more.
+func (c *dependencyGraph) disconnect(l *node) {
+	for _, n := range l.needs {
+		delete(n.dependents, l)
+		c.changed[n] = true
+		c.removeIfUnused(n)
+	}
+	l.needs = nil
+	c.removeIfUnused(l)
+}
+
+func (c *dependencyGraph) removeIfUnused(l *node) {
+	if len(l.dependents) == 0 && (l.job == nil || final(l.job.RecordedState) || len(l.job.Spec.Needs) == 0) {
+		delete(c.links, l.id)
+		delete(c.unknown, l.id)
+	}
+}
+
+// propagates reports whether urgency propagates from a job to one that it names. It does not between jobs that
+// are over, nor along an invalid record that names a younger job, which could form a cycle.
+func propagates(from, to *node) bool {
+	return from.state == protocol.Pending && !final(to.state) && to.job != nil && to.job.Created < from.job.Created
+}
+
+// raisedBy returns u raised to what the urgency of the dependent a requires.
+func (u Urgency) raisedBy(a *node) Urgency {
+	u.Rank, u.Filler = max(u.Rank, a.urgency.Rank), u.Filler && a.urgency.Filler
+	if !a.urgency.Deadline.IsZero() {
+		if end := a.urgency.Deadline.Add(-expectedDuration(a.job)); u.Deadline.IsZero() || end.Before(u.Deadline) {
+			u.Deadline = end
+		}
+	}
+	return u
+}
+
+// effectiveUrgency is a job's own urgency, raised by the jobs that need it.
+func (c *dependencyGraph) effectiveUrgency(l *node) Urgency {
+	u := l.ownUrgency
+	for a := range l.dependents {
+		if propagates(a, l) {
+			u = u.raisedBy(a)
+		}
+	}
+	return u
+}
+
+// raiseNeeds propagates a job's urgency to all jobs that it needs, directly and indirectly.
+func (c *dependencyGraph) raiseNeeds(l *node) {
+	for pending := []*node{l}; len(pending) > 0; {
+		l := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		for _, n := range l.needs {
+			if u := n.urgency.raisedBy(l); propagates(l, n) && u != n.urgency {
+				n.urgency = u
+				c.changed[n] = true
+				pending = append(pending, n)
+			}
+		}
+	}
+}
+
+// recomputeUrgency recomputes the urgency of a job, and of all that it needs, after a job that needs it ended.
+func (c *dependencyGraph) recomputeUrgency(l *node) {
+	for pending := []*node{l}; len(pending) > 0; {
+		l := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if final(l.state) || l.job == nil {
+			continue
+		}
+		if u := c.effectiveUrgency(l); u != l.urgency {
+			l.urgency = u
+			c.changed[l] = true
+			pending = append(pending, l.needs...)
+		}
+	}
+}
+
+// applyTo sets the dependency state of a job that is not published yet.
+func (c *dependencyGraph) applyTo(j *Job) {
+	j.State = j.RecordedState
+	defer j.applyHold()
+	l := c.links[j.Spec.ID]
+	if l == nil {
+		j.DependencyState = DependencyState{Ready: j.Accepted, Urgency: c.urgencyOf(j), CancelledWith: j.CancelledWith}
+		return
+	}
+	j.DependencyState = DependencyState{WaitingOn: l.unmet, NeedsUnknown: l.unknown > 0, Urgency: l.urgency, CancelledWith: l.cancelledWith, HasDependents: len(l.dependents) > 0}
+	if final(l.state) {
+		j.State = l.state
+	}
+	if l.cancelledWith == l.id {
+		j.CancelledWith = ""
+	}
+	if l.unmet == 0 {
+		if j.Ready = j.Accepted; l.ready.After(j.Ready) {
+			j.Ready = l.ready
+		}
+	}
+	for _, n := range l.needs {
+		if n.state != protocol.Done && len(j.WaitsFor) < maxListedJobs {
+			j.WaitsFor = append(j.WaitsFor, n.id)
+		}
+	}
+	for a := range l.dependents {
+		if len(j.NeededBy) == maxListedJobs {
+			break
+		}
+		j.NeededBy = append(j.NeededBy, a.id)
+	}
+	slices.Sort(j.NeededBy)
+}
+
+// EarliestStart is the time before which no task of the job may start, zero if there is no such time.
+func (j *Job) EarliestStart() time.Time {
+	if j.Spec.Batch == nil || j.Spec.Batch.FromMs == 0 {
+		return time.Time{}
+	}
+	return time.UnixMilli(j.Spec.Batch.FromMs)
+}
+
+// applyHold makes a job that is held or delayed wait as if it needed one more job, so that placement, renting
+// and the holder's admission check treat a hold like an unmet need. Ready then counts from the release.
+func (j *Job) applyHold() {
+	from := j.EarliestStart()
+	switch {
+	case j.Final():
+	case j.Held || from.After(time.Now()):
+		j.WaitingOn, j.Ready = j.WaitingOn+1, time.Time{}
+	case j.WaitingOn == 0 && from.After(j.Ready) && from.After(j.Released):
+		j.Ready = from
+	case j.WaitingOn == 0 && j.Released.After(j.Ready):
+		j.Ready = j.Released
+	}
+}
+
+// unknownJobs returns up to limit of the named jobs that the replica knows nothing about.
+func (c *dependencyGraph) unknownJobs(limit int) (ids []string) {
+	for id := range c.unknown {
+		if len(ids) == limit {
+			break
+		}
+		ids = append(ids, id)
+	}
+	return ids
+}
--- a/internal/bookkeeping/job.go
+++ b/internal/bookkeeping/job.go
@@ -8,88 +8,86 @@
 	"daledyke/internal/protocol"
 )
 
-// ChunkTasks is how many results one key holds; a chunk stays far below the
-// state service's limit on values even when every task of it is recorded.
+// ChunkTasks is the number of task results per key. A full chunk stays far below the state service's limit
+// on the size of a value.
 const ChunkTasks = 8192
 
-// Seat is where a job stands on the ring.
-type Seat struct {
-	// Token is its place, Blocks into how many blocks of consecutive tasks it is divided, each
-	// with a place of its own.
+// RingPosition is a job's position on the ring.
+type RingPosition struct {
+	// Token is the job's token. Blocks is the number of blocks of consecutive tasks that the job is divided
+	// into; each block has its own token.
 	Token  int64
 	Blocks int
-	// Joint: it has a place of its own only under windows that are Apart; under others it
-	// stands, whole, at JointToken, the place of its team.
-	Joint      bool
-	JointToken int64
+	// TeamFallback: the job uses its own position only in windows with OwnPositions. In other windows the
+	// whole job is at TeamToken, the position of its team.
+	TeamFallback bool
+	TeamToken    int64
 }
 
-// jobRecord is a job's value in the state service. It only moves forward:
-// from pending to cancelled or to done, and stays there.
+// jobRecord is a job's value in the state service. Its state changes only from pending to cancelled or done,
+// and is then final.
 //
-// The version before chains bears all that is new here: it ignores Ended, With
-// and Parts, and drops them, as well as what a job needs, when it rewrites a
-// record, which it does only to end a job or to move one that is over. Then
-// when it ended is not known. A record without a description it passes over.
-// Once no such version is left, Ended can be relied on.
+// Versions that don't know job dependencies tolerate the newer fields: they ignore EndedMs, CancelledWith and
+// PartCount, and drop them together with the job's needs when they rewrite a record. They rewrite a record only
+// to end a job or to archive one that is over. The time at which such a job ended is then unknown. They skip
+// records without a description. EndedMs is reliable once no such version runs.
 type jobRecord struct {
 	Spec       *protocol.JobSpec `json:"spec,omitempty"`
 	State      string            `json:"state"`
 	AcceptedMs int64             `json:"at"`
 	EndedMs    int64             `json:"end,omitempty"`
-	// With is the job that it was cancelled with.
-	With string `json:"with,omitempty"`
-	// Held: none of its tasks starts until it is released, which was last at FreedMs.
-	// The version before holds ignores both, and would start it: none is held while
-	// such a process lives.
-	Held    bool  `json:"held,omitempty"`
-	FreedMs int64 `json:"freed,omitempty"`
-	// Parts is in how many further values the description stands, being too
-	// large for this one, and Sum what their names are made of.
-	Parts int    `json:"parts,omitempty"`
-	Sum   string `json:"sum,omitempty"`
-}
-
-// chunkRecord is a bitmap of tasks with a recorded result, as hex-free JSON
-// bytes (base64).
+	// CancelledWith is the job whose cancellation cancelled this one.
+	CancelledWith string `json:"with,omitempty"`
+	// Held: no task starts until the job is released. ReleasedMs is the time of the last release. Versions
+	// that don't know holds ignore both fields and would start the job, so no job is held while a process
+	// of such a version runs.
+	Held       bool  `json:"held,omitempty"`
+	ReleasedMs int64 `json:"freed,omitempty"`
+	// PartCount is the number of further values that hold the description if it is too large for this one.
+	// Sum is the part of their keys that identifies the description.
+	PartCount int    `json:"parts,omitempty"`
+	Sum       string `json:"sum,omitempty"`
+}
+
+// chunkRecord is a bitmap of the tasks with a recorded result; JSON encodes it as base64.
 type chunkRecord struct {
 	Bits []byte `json:"bits"`
 }
 
-// Job is a controller's picture of a job. Jobs are never changed once they
-// are published; a change makes a new one, so actors may share them.
+// Job is a controller's view of a job. A published Job is immutable: a change makes a copy, so actors may share
+// jobs.
 type Job struct {
 	Spec *protocol.JobSpec
-	// Record is the state that the record says, State what the job is for all
-	// purposes: cancelled too if a job that it needs is.
-	Record, State   string
-	Accepted, Ended time.Time
-	// Held: no task starts until the job is released; Freed is when it last was.
-	Held  bool
-	Freed time.Time
-	Place
-	// Created and Version are the revisions of the record's first and latest
-	// version that this controller has seen.
+	// RecordedState is the state in the record. State is the effective state: it is also cancelled if a job
+	// that this one needs is cancelled.
+	RecordedState, State string
+	Accepted, Ended      time.Time
+	// Held: no task starts until the job is released. Released is the time of the last release.
+	Held     bool
+	Released time.Time
+	DependencyState
+	// Created and Version are the revisions of the record's first and latest version that this controller
+	// has seen.
 	Created, Version uint64
 	Results          []Chunk
-	Seat
-	// Archived: the record stands with those of jobs that are over.
+	RingPosition
+	// Archived: the record is stored under the archive prefix, with those of other jobs that are over.
 	Archived bool
-	// parts and sum tell where else the description stands.
-	parts int
-	sum   string
+	// partCount and sum locate the parts of the description.
+	partCount int
+	sum       string
 }
 
-// Chunk is a part of a job's results.
+// Chunk is the results of up to ChunkTasks consecutive tasks of a job.
 type Chunk struct {
 	Bits    []byte
 	Version uint64
 }
 
-// Final tells whether the job is over.
+// Final reports whether the job is over.
 func (j *Job) Final() bool { return j.State != protocol.Pending }
 
-// TaskDone tells whether the task's result is recorded.
+// TaskDone reports whether the task's result is recorded.
 func (j *Job) TaskDone(i int) bool {
 	c := i / ChunkTasks
 	if c >= len(j.Results) {
@@ -110,7 +108,7 @@
 	return n
 }
 
-// DoneIn counts the recorded results of the tasks from one up to, not with, another.
+// DoneIn counts the recorded results of the tasks in [from, to).
 func (j *Job) DoneIn(from, to int) (n int) {
 	for i := from; i < to; {
 		c, at := i/ChunkTasks, i%ChunkTasks
@@ -130,13 +128,13 @@
 	return n
 }
 
-// BlockTasks is the most tasks that one owner places of a job. It is no setting, since
-// all controllers have to agree on it.
+// BlockTasks is the maximum number of tasks in a block. It is not configurable, since all controllers must
+// agree on it.
 const BlockTasks = 256
 
-// BlocksOf is into how many blocks a job is divided: one, unless its tasks are independent
-// of each other also in where they may be.
-func BlocksOf(s *protocol.JobSpec) int {
+// BlockCount returns the number of blocks that a job is divided into. It is one unless the job's tasks are
+// independent of each other, also in their zones.
+func BlockCount(s *protocol.JobSpec) int {
 	if s.Shape != protocol.Array || s.OneZone || s.Scatter {
 		return 1
 	}
@@ -145,7 +143,7 @@
 
 func (j *Job) blockSize() int { return (j.Spec.Tasks + j.Blocks - 1) / max(1, j.Blocks) }
 
-// BlockOf is the block that a task is in.
+// BlockOf returns the block that contains a task.
 func (j *Job) BlockOf(index int) int {
 	if j.Blocks <= 1 {
 		return 0
@@ -153,8 +151,8 @@
 	return index / j.blockSize()
 }
 
-// Block are the tasks of a block: from the first up to, not with, the second.
-func (j *Job) Block(block int) (from, to int) {
+// BlockRange returns the tasks of a block, as the range [from, to).
+func (j *Job) BlockRange(block int) (from, to int) {
 	if j.Blocks <= 1 {
 		return 0, j.Spec.Tasks
 	}
@@ -162,14 +160,14 @@
 	return min(block*n, j.Spec.Tasks), min((block+1)*n, j.Spec.Tasks)
 }
 
-// BlockToken is a block's place on the ring. From the job's own place on they lie at equal
-// distances all around it, so that equal ranges hold equally many, give or take one; places
-// drawn for each would differ by a fifth and more.
+// BlockToken returns a block's token. The blocks lie at equal distances around the ring, starting at the job's
+// own token, so that equal ranges contain equal numbers of blocks, give or take one. With independent random
+// tokens these numbers would differ by a fifth or more.
 func (j *Job) BlockToken(block int) int64 {
 	return int64(uint64(j.Token) + uint64(block)*(math.MaxUint64/uint64(max(1, j.Blocks))))
 }
 
-// withChunk gives the job with a newer chunk; an older one changes nothing.
+// withChunk returns the job with a newer chunk of results. It ignores a chunk that is older than the known one.
 func (j *Job) withChunk(i int, c Chunk) *Job {
 	if i < len(j.Results) && j.Results[i].Version >= c.Version {
 		return j
@@ -181,9 +179,9 @@
 	return &n
 }
 
-// withRecord gives the job as a newer record has it.
+// withRecord returns the job updated to a newer record. It ignores an older record.
 func (j *Job) withRecord(r *jobRecord, version uint64) *Job {
-	n := &Job{Spec: r.Spec, Accepted: time.UnixMilli(r.AcceptedMs), Created: version, parts: r.Parts, sum: r.Sum}
+	n := &Job{Spec: r.Spec, Accepted: time.UnixMilli(r.AcceptedMs), Created: version, partCount: r.PartCount, sum: r.Sum}
 	if j != nil {
 		if version <= j.Version {
 			return j
@@ -191,38 +189,37 @@
 		was := *j
 		n = &was
 	}
-	n.Record, n.State, n.With, n.Version = r.State, r.State, r.With, version
+	n.RecordedState, n.State, n.CancelledWith, n.Version = r.State, r.State, r.CancelledWith, version
 	if r.EndedMs > 0 {
 		n.Ended = time.UnixMilli(r.EndedMs)
 	}
-	if n.Held = r.Held; r.FreedMs > 0 {
-		n.Freed = time.UnixMilli(r.FreedMs)
+	if n.Held = r.Held; r.ReleasedMs > 0 {
+		n.Released = time.UnixMilli(r.ReleasedMs)
 	}
 	return n
 }
 
-// longOver is the job of a record that stands with those of jobs long over.
-func longOver(r *jobRecord, version uint64) *Job {
+// archivedJob returns the job of a record in the archive.
+func archivedJob(r *jobRecord, version uint64) *Job {
 	j := (*Job)(nil).withRecord(r, version)
 	j.Archived = true
 	return j
 }
 
-// ended is the record of a job that is over. What only placing asks for is left
-// out: a description that just fitted into a value must not keep its job from
-// ending once values are to be smaller.
-func (j *Job) ended(state, with string, at time.Time) *jobRecord {
+// endedRecord returns the record of a job that is over. It leaves out what only placement uses: a description
+// that just fitted into a value must not keep its job from ending after the limit on values is lowered.
+func (j *Job) endedRecord(state, cancelledWith string, at time.Time) *jobRecord {
 	spec := *j.Spec
 	spec.Needs, spec.Types = nil, nil
-	r := &jobRecord{Spec: &spec, State: state, AcceptedMs: j.Accepted.UnixMilli(), With: with, Parts: j.parts, Sum: j.sum}
-	if !at.IsZero() { // the version before chains did not say
+	r := &jobRecord{Spec: &spec, State: state, AcceptedMs: j.Accepted.UnixMilli(), CancelledWith: cancelledWith, PartCount: j.partCount, Sum: j.sum}
+	if !at.IsZero() { // unknown if a version without EndedMs wrote the record
 		r.EndedMs = at.UnixMilli()
 	}
 	return r
 }
 
-// marked gives the bits of a chunk with more tasks recorded.
-func marked(old []byte, tasks []int) []byte {
+// withTaskBits returns the bitmap of a chunk with the bits of further tasks set.
+func withTaskBits(old []byte, tasks []int) []byte {
 	out := append([]byte(nil), old...)
 	for _, t := range tasks {
 		i := t % ChunkTasks
--- a/internal/bookkeeping/keys.go
+++ b/internal/bookkeeping/keys.go
@@ -1,5 +1,5 @@
-// Package bookkeeping keeps what daledyke remembers: the records in the state
-// service and each controller's replica of them. Only here are keys named.
+// Package bookkeeping holds the records that daledyke keeps in the state service, and each controller's
+// replica of them. No other package names keys of the state service.
 package bookkeeping
 
 import (
@@ -21,108 +21,110 @@
 	keyWindow     = Root + "window"
 	keyCatalog    = Root + "catalog"
 	jobPrefix     = Root + "j/"
-	overPrefix    = Root + "z/" // sorts last: a controller that starts stops there
+	archivePrefix = Root + "z/" // sorts last, so that a starting controller can skip these records
 	resultPrefix  = Root + "r/"
-	partPrefix    = Root + "p/" // of descriptions that are too large for one value
+	partPrefix    = Root + "p/" // parts of job descriptions that are too large for one value
 	catalogPrefix = keyCatalog + "/"
 	memberPrefix  = Root + "m/"
 	slotPrefix    = Root + "s/"
 	batchPrefix   = Root + "l/"
 	keyQuotas     = Root + "quotas"
-	quotaPrefix   = keyQuotas + "/" // the parts of accounts
+	quotaPrefix   = keyQuotas + "/" // parts of the quota accounts
 )
 
-func jobKey(id string) string                 { return jobPrefix + id }
-func overKey(id string) string                { return overPrefix + id }
-func resultKey(id string, chunk int) string   { return fmt.Sprintf("%s%s/%d", resultPrefix, id, chunk) }
-func partKeys(id, sum string) string          { return partPrefix + id + "/" + sum + "/" }
-func partKey(id, sum string, part int) string { return fmt.Sprintf("%s%03d", partKeys(id, sum), part) }
-func memberKey(name string) string            { return memberPrefix + name }
-func slotKey(slot int) string                 { return fmt.Sprintf("%s%d", slotPrefix, slot) }
-func batchKey(name string) string             { return batchPrefix + name }
-
-// kinds are the kinds of records, as operators are told of them, by how their
-// keys begin.
-var kinds = []struct{ prefix, name string }{
+func jobKey(id string) string               { return jobPrefix + id }
+func archiveKey(id string) string           { return archivePrefix + id }
+func resultKey(id string, chunk int) string { return fmt.Sprintf("%s%s/%d", resultPrefix, id, chunk) }
+func partKeyPrefix(id, sum string) string   { return partPrefix + id + "/" + sum + "/" }
+func partKey(id, sum string, part int) string {
+	return fmt.Sprintf("%s%03d", partKeyPrefix(id, sum), part)
+}
+func memberKey(name string) string { return memberPrefix + name }
+func slotKey(slot int) string      { return fmt.Sprintf("%s%d", slotPrefix, slot) }
+func batchKey(name string) string  { return batchPrefix + name }
+
+// recordKinds maps key prefixes to the kinds of records that operators see in metrics.
+var recordKinds = []struct{ prefix, name string }{
 	{keyTerm, "term"}, {keyLeader, "leader"}, {keyWindow, "window"}, {keyCatalog, "catalogue"}, {jobPrefix, "job"},
-	{overPrefix, "over"}, {resultPrefix, "result"}, {partPrefix, "part"}, {memberPrefix, "session"}, {slotPrefix, "slot"}, {batchPrefix, "lot"}, {keyQuotas, "quotas"},
+	{archivePrefix, "over"}, {resultPrefix, "result"}, {partPrefix, "part"}, {memberPrefix, "session"}, {slotPrefix, "slot"}, {batchPrefix, "lot"}, {keyQuotas, "quotas"},
 }
 
-// kindOf tells what kind of record a key holds.
-func kindOf(key string) string {
-	for _, k := range kinds {
+// recordKind returns the kind of record that a key holds.
+func recordKind(key string) string {
+	for _, k := range recordKinds {
 		if strings.HasPrefix(key, k.prefix) {
 			return k.name
 		}
 	}
-	return kinds[len(kinds)-1].name // there is no other
+	return recordKinds[len(recordKinds)-1].name // the last entry covers all remaining keys
 }
 
-func under(key, prefix string) (string, bool) { return strings.CutPrefix(key, prefix) }
+func keySuffix(key, prefix string) (string, bool) { return strings.CutPrefix(key, prefix) }
 
-// Counter is the value of the term counter.
-type Counter struct {
+// TermCounter is the value of the term counter.
+type TermCounter struct {
 	Term uint64 `json:"term"`
 }
 
-// Member is a controller's session; it lives as long as its lease.
+// Member is a controller's session record; it exists as long as the session's lease.
 type Member struct {
-	// Term is the incarnation of the process: a new process takes a new one.
+	// Term is the incarnation of the process: each new process takes a new term.
 	Term uint64 `json:"term"`
-	// WorkersUnreachable asks that no workers be assigned to this controller for now.
+	// WorkersUnreachable requests that no workers be assigned to this controller for now.
 	WorkersUnreachable bool `json:"deaf,omitempty"`
-	// Generation is what the process understands, see Generation; a version
-	// that has none is of the first.
+	// Generation is the generation of records that the process understands, see the constant Generation.
+	// Versions that leave it out are of the first generation.
 	Generation int `json:"gen,omitempty"`
-	// Version is the record's version, not part of its value.
+	// Version is the version of the stored record; it is not part of the value.
 	Version uint64 `json:"-"`
 }
 
-// Generation is what this version understands of records: 2 with chains of
-// jobs, which a process of the first would run at once, 3 with jobs that are held, 4
-// (GenerationBlocks) with large jobs that several owners place, 5 (GenerationApart) with jobs
-// of limited teams that stand apart since they take nothing that is limited, 6
-// (GenerationPromises) with promises not to take slots, 7 (GenerationLonger) with longer ones, 8
-// (GenerationAnnounced) with cancellations that are announced to siblings.
+// Generation is the generation of records that this version understands:
+//   - 2: job dependencies; a process of generation 1 would start dependent jobs at once
+//   - 3: held jobs
+//   - 4 (GenerationBlocks): large jobs that several owners place
+//   - 5 (GenerationOwnPositions): jobs of limited teams that use nothing limited have their own ring position
+//   - 6 (GenerationPromises): promises not to take slots
+//   - 7 (GenerationLongPromises): longer promises
+//   - 8 (GenerationCancelNotices): cancellations are announced to siblings
 const (
-	Generation          = GenerationAnnounced
-	GenerationBlocks    = 4
-	GenerationApart     = 5
-	GenerationPromises  = 6
-	GenerationLonger    = 7
-	GenerationAnnounced = 8
+	Generation              = GenerationCancelNotices
+	GenerationBlocks        = 4
+	GenerationOwnPositions  = 5
+	GenerationPromises      = 6
+	GenerationLongPromises  = 7
+	GenerationCancelNotices = 8
 )
 
-// Leader names the controller that leads.
+// Leader names the current leader.
 type Leader struct {
 	Name    string `json:"name"`
 	Term    uint64 `json:"term"`
 	Version uint64 `json:"-"`
 }
 
-// Slot records who holds a share of the workers, and under what term.
+// Slot records the holder of a slot, that is of a share of the workers, and the term it holds the slot under.
 type Slot struct {
 	Holder string `json:"holder"`
-	// Incarnation is the holder's own term; Term is the slot's, which its
-	// tokens carry.
+	// Incarnation is the holder's own term; Term is the term of the slot, which the slot's tokens carry.
 	Incarnation uint64 `json:"inc"`
 	Term        uint64 `json:"term"`
-	// Roster are the slot's machines on which tasks may have been started.
+	// Roster is the set of machines of the slot on which tasks may have been started.
 	Roster Roster `json:"up,omitempty"`
-	// Listed: the record was written by a version that keeps rosters.
-	Listed bool `json:"listed,omitempty"`
-	// Packed is the roster in a smaller form, where it would be too large for a
-	// value, and Unlisted says then that no roster was kept; see packed.
-	Packed   []byte `json:"packed,omitempty"`
-	Unlisted bool   `json:"unlisted,omitempty"`
-	Version  uint64 `json:"-"`
+	// RosterKnown: the record was written by a version that keeps rosters.
+	RosterKnown bool `json:"listed,omitempty"`
+	// PackedRoster replaces Roster if the record would be too large for one value. RosterUnknown then means
+	// that no roster was kept. See packRoster.
+	PackedRoster  []byte `json:"packed,omitempty"`
+	RosterUnknown bool   `json:"unlisted,omitempty"`
+	Version       uint64 `json:"-"`
 }
 
-// Roster is a set of machines by their numbers. In a record it is the list of
-// the steps between them, which keeps even a large fleet within a value.
+// Roster is a set of machine numbers. It is encoded as the list of differences between successive numbers,
+// so that even a large fleet fits into one value.
 type Roster map[uint64]bool
 
-// MarshalJSON writes the steps.
+// MarshalJSON encodes the differences between successive machine numbers.
 func (r Roster) MarshalJSON() ([]byte, error) {
 	numbers := slices.Sorted(maps.Keys(r))
 	last := uint64(0)
@@ -132,7 +134,7 @@
 	return json.Marshal(numbers)
 }
 
-// UnmarshalJSON reads the steps.
+// UnmarshalJSON decodes the differences between successive machine numbers.
 func (r *Roster) UnmarshalJSON(raw []byte) error {
 	var steps []uint64
 	if err := json.Unmarshal(raw, &steps); err != nil {
@@ -147,29 +149,28 @@
 	return nil
 }
 
-// Window is one numbered division of the ring and one assignment of the workers.
+// Window is one numbered division of the ring among owners, with one assignment of the slots to holders.
 type Window struct {
 	Number uint64 `json:"n"`
-	// StartMs is when it begins, by the time of day.
+	// StartMs is when the window begins, in milliseconds of Unix time.
 	StartMs int64 `json:"startMs"`
 	// Owners hold equal ranges of the ring, in this order.
 	Owners []string `json:"owners"`
-	// Assignment names the wanted holder of each slot.
+	// Assignment names the intended holder of each slot.
 	Assignment []string `json:"deal"`
-	// Moved are the slots that are not assigned to their home for balance alone. A version
-	// before balance knows nothing of it, and assigns them home again when it leads.
+	// Moved lists the slots that are assigned away from their home only to balance load. A version that does
+	// not know balancing ignores this field, and assigns these slots to their homes when it leads.
 	Moved []int `json:"moved,omitempty"`
-	// Divided: blocks of large jobs have owners of their own (Job.Blocks). A version
-	// before blocks doesn't know of it: it is set once every controller of the
-	// deployment was seen to.
-	Divided bool `json:"blocks,omitempty"`
-	// Apart: jobs that take nothing of what their team is limited in have places of their own
-	// (Seat.Joint). It is set like Divided, once all know of it.
-	Apart   bool   `json:"apart,omitempty"`
-	Version uint64 `json:"-"`
+	// BlockOwners: each block of a large job has its own owner (Job.Blocks). Versions that don't know blocks
+	// ignore this field, so it is set only once every controller of the deployment is known to support it.
+	BlockOwners bool `json:"blocks,omitempty"`
+	// OwnPositions: jobs that use nothing their team is limited in have their own ring positions
+	// (RingPosition.TeamFallback). Like BlockOwners, it is set once all controllers support it.
+	OwnPositions bool   `json:"apart,omitempty"`
+	Version      uint64 `json:"-"`
 }
 
-// Owner is the controller in whose range a token lies, "" if there is none.
+// Owner returns the controller whose range contains the token, "" if there is none.
 func (w *Window) Owner(token int64) string {
 	if w == nil || len(w.Owners) == 0 {
 		return ""
@@ -177,41 +178,39 @@
 	return w.Owners[protocol.RingShare(token, len(w.Owners))]
 }
 
-// OwnerOf is the controller that places a task of a job, "" if there is none.
+// OwnerOf returns the controller that places a task of a job, "" if there is none.
 func (w *Window) OwnerOf(j *Job, index int) string { return w.OwnerOfBlock(j, j.BlockOf(index)) }
 
-// OwnerOfBlock is the controller that places a block of a job's tasks. That of the first
-// block is the job's own owner, who also records its results and ends it.
+// OwnerOfBlock returns the controller that places a block of a job's tasks. The owner of the first block is
+// the job's owner: it also records the job's results and ends the job.
 func (w *Window) OwnerOfBlock(j *Job, block int) string {
-	if j.Joint && (w == nil || !w.Apart) {
-		return w.Owner(j.JointToken)
+	if j.TeamFallback && (w == nil || !w.OwnPositions) {
+		return w.Owner(j.TeamToken)
 	}
-	if w == nil || !w.Divided || j.Blocks <= 1 {
+	if w == nil || !w.BlockOwners || j.Blocks <= 1 {
 		return w.Owner(j.Token)
 	}
 	return w.Owner(j.BlockToken(block))
 }
 
-// SameOwners tells whether every task has the same owner in both windows.
+// SameOwners reports whether every task has the same owner in both windows.
 func (w *Window) SameOwners(o *Window) bool {
-	return slices.Equal(w.Owners, o.Owners) && w.Divided == o.Divided && w.Apart == o.Apart
+	return slices.Equal(w.Owners, o.Owners) && w.BlockOwners == o.BlockOwners && w.OwnPositions == o.OwnPositions
 }
 
-// Machine is a rented machine in the registry. It is there before the first
-// task is started on the machine, and goes once the machine is known to be
-// gone for good.
+// Machine is a rented machine in the registry. It is registered before the first task starts on it, and
+// removed once the machine is known to be gone for good.
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool
 	RentedMs       int64
 }
 
-// Number is the machine's number, which deals it to a slot.
+// Number is the machine's number, which determines its slot.
 func (m *Machine) Number() uint64 { return protocol.MachineNumber(m.ID) }
 
-// RentalBatch is a registry record: machines that were rented, or found, together.
-// One record for a whole rental keeps a large fleet within the state
-// service's budget of writes.
+// RentalBatch is a registry record of machines that were rented or found together. One record for a whole
+// rental keeps a large fleet within the write budget of the state service.
 type RentalBatch struct {
 	Type     string   `json:"type"`
 	Zone     string   `json:"zone"`
@@ -221,22 +220,22 @@
 	Version  uint64   `json:"-"`
 }
 
-// Machine is one of the batch's machines.
+// Machine returns one machine of the batch.
 func (l *RentalBatch) Machine(id string) *Machine {
 	return &Machine{ID: id, Type: l.Type, Zone: l.Zone, Spot: l.Spot, RentedMs: l.RentedMs}
 }
 
-// RentalBatches sorts machines into batches of those that are alike, none larger than a
-// rental can be.
+// RentalBatches groups machines of the same type, zone and spot flag into batches of at most
+// protocol.MaxRent machines.
 func RentalBatches(ms []Machine) []RentalBatch {
 	var out []RentalBatch
-	open := map[Machine]int{}
+	openBatches := map[Machine]int{}
 	for _, m := range ms {
 		kind := Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		i, ok := open[kind]
+		i, ok := openBatches[kind]
 		if !ok || len(out[i].Machines) >= protocol.MaxRent {
 			i = len(out)
-			open[kind] = i
+			openBatches[kind] = i
 			out = append(out, RentalBatch{Type: m.Type, Zone: m.Zone, Spot: m.Spot, RentedMs: m.RentedMs})
 		}
 		out[i].Machines = append(out[i].Machines, m.ID)
--- a/internal/bookkeeping/quotas_test.go
+++ b/internal/bookkeeping/quotas_test.go
@@ -11,46 +11,45 @@
 	"daledyke/internal/transport"
 )
 
-// Thousands of accounts stand in parts that come in any order, before or after the
-// record that names them; they are told once, when they are whole, and what is left
-// of former ones does not get between.
-func TestAccountsInParts(t *testing.T) {
+// Thousands of accounts are stored in parts that arrive in any order, before or after the record that names them.
+// They are published once, when complete, and leftover parts of former revisions have no effect.
+func TestSplitAccounts(t *testing.T) {
 	st := NewStore(transport.NewState(nil, "", 1, 1), 12, 2048)
 	records := func(revision uint64, n int) (keys []string, values []any) {
 		var accounts []quota.Account
 		for i := range n {
 			accounts = append(accounts, quota.Account{Name: fmt.Sprintf("a/%d-%d", i, i*i%97), Guarantee: protocol.Room{Cores: float64(i % 13)}})
 		}
-		parts, sum, err := st.divide(accounts)
+		parts, sum, err := st.splitValue(accounts)
 		if err != nil || n > 1000 && len(parts) < 3 {
 			t.Fatalf("%d parts, %v", len(parts), err)
 		}
 		for k, p := range parts {
 			if !st.fits(p) {
-				t.Errorf("a part takes %d bytes", size(p))
+				t.Errorf("a part has %d bytes", encodedSize(p))
 			}
 			keys, values = append(keys, quotaKey(sum, k)), append(values, p)
 		}
-		return append(keys, keyQuotas), append(values, Quotas{Revision: revision, Sum: sum, Of: len(parts)})
+		return append(keys, keyQuotas), append(values, Quotas{Revision: revision, Sum: sum, PartCount: len(parts)})
 	}
-	var parts quotaParts
+	var parts quotaAssembler
 	for revision, n := range []int{2000, 3, 1500} {
 		keys, values := records(uint64(revision+1), n)
-		told := 0
+		published := 0
 		for at, k := range rand.Perm(len(keys)) {
 			raw, _ := json.Marshal(values[k])
-			if q := parts.take(keys[k], raw, uint64(10*revision+10), false); q != nil {
-				told++
+			if q := parts.update(keys[k], raw, uint64(10*revision+10), false); q != nil {
+				published++
 				if at != len(keys)-1 || len(q.Accounts) != n || q.Revision != uint64(revision+1) {
-					t.Errorf("told after %d of %d records: revision %d with %d accounts", at+1, len(keys), q.Revision, len(q.Accounts))
+					t.Errorf("published after %d of %d records: revision %d with %d accounts", at+1, len(keys), q.Revision, len(q.Accounts))
 				}
 			}
 		}
-		if told != 1 {
-			t.Errorf("revision %d was told %d times", revision+1, told)
+		if published != 1 {
+			t.Errorf("revision %d was published %d times", revision+1, published)
 		}
 	}
-	if q := parts.take(keyQuotas, nil, 99, true); q != nil {
-		t.Error("a dropped record tells accounts")
+	if q := parts.update(keyQuotas, nil, 99, true); q != nil {
+		t.Error("dropping the record published accounts")
 	}
 }
--- a/internal/bookkeeping/reader.go
+++ b/internal/bookkeeping/reader.go
@@ -6,91 +6,87 @@
 	"time"
 )
 
-// Reader tells whether the replica is as new as a question. Users ask about
-// their jobs far more often than jobs change: one read of the state service
-// that begins after their questions came answers all of them, so that what
-// asking costs grows with time and not with the number of users. It is an
-// actor of its own.
+// Reader tells queries when the replica is fresh enough to answer them. Users ask about their jobs far more
+// often than jobs change. One read of the state service that starts after a set of queries arrived answers all
+// of them, so the cost of queries grows with time and not with the number of users. Reader is an actor.
 type Reader struct {
 	store *Store
-	// Found is given the jobs that are over and had to be read; it may be nil.
-	Found  func(*Job)
-	asks   chan question
-	caught chan uint64
-	read   chan reading
-
-	waiting  []question // for the next read
-	behind   []question // for the replica to catch up
-	revision uint64     // that the replica has reached
-	inFlight int
-	begun    time.Time // the last read
+	// OnArchived is called with each archived job that had to be read; it may be nil.
+	OnArchived func(*Job)
+	queries    chan query
+	revisions  chan uint64
+	results    chan readResult
+
+	queued          []query // queries for the next read
+	awaitingReplica []query // queries waiting for the replica to catch up
+	revision        uint64  // revision that the replica has reached
+	inFlight        int
+	lastReadAt      time.Time // start of the last read
 }
 
-// question is one that waits for an answer; id is set if the replica knows
-// nothing of the job.
-type question struct {
-	id     string
-	came   time.Time
-	needs  uint64 // the revision that the replica must reach
-	answer chan<- verdict
+// query is a request that waits for an answer; id is set if it is about a job that the replica does not have.
+type query struct {
+	id          string
+	received    time.Time
+	minRevision uint64 // revision that the replica must reach
+	answer      chan<- queryResult
 }
 
-type verdict struct {
+type queryResult struct {
 	job *Job
 	err error
 }
 
-type reading struct {
-	of       []question
+type readResult struct {
+	queries  []query
 	revision uint64
 	recorded map[string]bool
 	err      error
 }
 
 const (
-	// readEvery is how far apart reads begin at least: ten a second and
-	// controller, however many users ask.
-	readEvery = 100 * time.Millisecond
-	// readPatience bounds a read, and FreshWithin a question in all, well
-	// below the two seconds that users wait.
-	readPatience = 800 * time.Millisecond
-	FreshWithin  = 1400 * time.Millisecond
-	// maxReads is how many reads may hang at a time, maxWaiting how many
-	// questions may wait.
-	maxReads   = 9
-	maxWaiting = 4096
+	// readInterval is the minimum interval between the starts of reads: at most ten reads a second and
+	// controller, for any number of users.
+	readInterval = 100 * time.Millisecond
+	// readTimeout limits one read, and FreshTimeout a whole query, well below the two seconds that users
+	// wait.
+	readTimeout  = 800 * time.Millisecond
+	FreshTimeout = 1400 * time.Millisecond
+	// maxConcurrentReads limits the reads in flight, maxQueuedQueries the queries that wait.
+	maxConcurrentReads = 9
+	maxQueuedQueries   = 4096
 )
 
-// ErrBusy says that too many questions wait already.
+// ErrBusy means that too many queries are queued.
 var ErrBusy = errors.New("too many questions at a time")
 
-// NewReader makes a reader.
+// NewReader returns a reader.
 func NewReader(s *Store) *Reader {
-	return &Reader{store: s, asks: make(chan question), caught: make(chan uint64), read: make(chan reading)}
+	return &Reader{store: s, queries: make(chan query), revisions: make(chan uint64), results: make(chan readResult)}
 }
 
-// Caught is told how far the replica has come.
-func (r *Reader) Caught(ctx context.Context, revision uint64) {
+// CaughtUp is called with the revision that the replica has reached.
+func (r *Reader) CaughtUp(ctx context.Context, revision uint64) {
 	select {
-	case r.caught <- revision:
+	case r.revisions <- revision:
 	case <-ctx.Done():
 	}
 }
 
-// Fresh waits until the replica holds all that was recorded before the call.
-func (r *Reader) Fresh(ctx context.Context) error {
+// WaitFresh waits until the replica holds everything that was recorded before the call.
+func (r *Reader) WaitFresh(ctx context.Context) error {
 	_, err := r.ask(ctx, "")
 	return err
 }
 
-// Find looks for a job that the replica did not have when it was asked; nil
-// without an error means that it was never accepted.
+// Find looks up a job that the replica did not have when the caller asked it. A nil job without an error was
+// never accepted.
 func (r *Reader) Find(ctx context.Context, id string) (*Job, error) { return r.ask(ctx, id) }
 
 func (r *Reader) ask(ctx context.Context, id string) (*Job, error) {
-	answer := make(chan verdict, 1)
+	answer := make(chan queryResult, 1)
 	select {
-	case r.asks <- question{id: id, came: time.Now(), answer: answer}:
+	case r.queries <- query{id: id, received: time.Now(), answer: answer}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -102,7 +98,7 @@
 	}
 }
 
-// Run answers questions until ctx ends.
+// Run answers queries until ctx ends.
 func (r *Reader) Run(ctx context.Context) {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -110,22 +106,22 @@
 		select {
 		case <-ctx.Done():
 			return
-		case q := <-r.asks:
-			if len(r.waiting) >= maxWaiting {
-				q.answer <- verdict{err: ErrBusy}
+		case q := <-r.queries:
+			if len(r.queued) >= maxQueuedQueries {
+				q.answer <- queryResult{err: ErrBusy}
 				continue
 			}
-			r.waiting = append(r.waiting, q)
-		case r.revision = <-r.caught:
-			r.catchUp()
-		case res := <-r.read:
+			r.queued = append(r.queued, q)
+		case r.revision = <-r.revisions:
+			r.answerCaughtUp()
+		case res := <-r.results:
 			r.inFlight--
-			r.take(ctx, res)
+			r.deliver(ctx, res)
 		case <-next.C:
 		}
-		if wait := readEvery - time.Since(r.begun); len(r.waiting) > 0 && r.inFlight < maxReads {
+		if wait := readInterval - time.Since(r.lastReadAt); len(r.queued) > 0 && r.inFlight < maxConcurrentReads {
 			if wait <= 0 {
-				r.begin(ctx)
+				r.startRead(ctx)
 			} else {
 				next.Reset(wait)
 			}
@@ -133,78 +129,78 @@
 	}
 }
 
-// begin starts one read for all that wait; of those that the replica knows
-// nothing of, as many as one comparison takes.
-func (r *Reader) begin(ctx context.Context) {
-	var of, later []question
+// startRead starts one read for all queued queries. Queries about unknown jobs are limited to what one
+// transaction can check.
+func (r *Reader) startRead(ctx context.Context) {
+	var batch, later []query
 	var ids []string
-	for _, q := range r.waiting {
+	for _, q := range r.queued {
 		switch {
-		case time.Since(q.came) > FreshWithin: // nobody waits for it any more
+		case time.Since(q.received) > FreshTimeout: // the caller has given up
 		case q.id == "":
-			of = append(of, q)
-		case len(ids) < r.store.mostUnknown():
-			of, ids = append(of, q), append(ids, q.id)
+			batch = append(batch, q)
+		case len(ids) < r.store.maxRecordedChecks():
+			batch, ids = append(batch, q), append(ids, q.id)
 		default:
 			later = append(later, q)
 		}
 	}
-	r.waiting = later
-	if len(of) == 0 {
+	r.queued = later
+	if len(batch) == 0 {
 		return
 	}
-	r.begun = time.Now()
+	r.lastReadAt = time.Now()
 	r.inFlight++
 	go func() {
-		res := reading{of: of}
-		res.revision, res.recorded, res.err = r.store.present(ctx, readPatience, ids)
+		res := readResult{queries: batch}
+		res.revision, res.recorded, res.err = r.store.checkRecorded(ctx, readTimeout, ids)
 		select {
-		case r.read <- res:
+		case r.results <- res:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// take gives a read's answers.
-func (r *Reader) take(ctx context.Context, res reading) {
-	for _, q := range res.of {
+// deliver processes the result of a read.
+func (r *Reader) deliver(ctx context.Context, res readResult) {
+	for _, q := range res.queries {
 		switch {
 		case res.err != nil:
-			q.answer <- verdict{err: res.err}
+			q.answer <- queryResult{err: res.err}
 		case q.id == "":
-			q.needs = res.revision
-			r.behind = append(r.behind, q)
+			q.minRevision = res.revision
+			r.awaitingReplica = append(r.awaitingReplica, q)
 		case res.recorded[q.id]:
 			go r.readJob(ctx, q)
 		default:
-			q.answer <- verdict{}
+			q.answer <- queryResult{}
 		}
 	}
-	r.catchUp()
+	r.answerCaughtUp()
 }
 
-// readJob reads the record of a job that the replica does not have. One that is over stays at hand, also
-// if it was read too late for who asked: once, after a restart, nobody was ever answered about such
-// jobs while the state service was slow.
-func (r *Reader) readJob(ctx context.Context, q question) {
+// readJob reads the record of a job that the replica does not have. OnArchived gets an archived job even if the
+// read was too late for the caller. Without that, queries about such jobs were never answered after a restart
+// while the state service was slow.
+func (r *Reader) readJob(ctx context.Context, q query) {
 	j, err := r.store.ReadJob(ctx, q.id)
-	if err == nil && j != nil && j.Archived && r.Found != nil {
-		r.Found(j)
+	if err == nil && j != nil && j.Archived && r.OnArchived != nil {
+		r.OnArchived(j)
 	}
-	q.answer <- verdict{j, err}
+	q.answer <- queryResult{j, err}
 }
 
-// catchUp answers those for whom the replica is new enough by now.
-func (r *Reader) catchUp() {
-	left := r.behind[:0]
-	for _, q := range r.behind {
+// answerCaughtUp answers the queries for which the replica is now fresh enough.
+func (r *Reader) answerCaughtUp() {
+	remaining := r.awaitingReplica[:0]
+	for _, q := range r.awaitingReplica {
 		switch {
-		case q.needs <= r.revision:
-			q.answer <- verdict{}
-		case time.Since(q.came) < FreshWithin:
-			left = append(left, q)
+		case q.minRevision <= r.revision:
+			q.answer <- queryResult{}
+		case time.Since(q.received) < FreshTimeout:
+			remaining = append(remaining, q)
 		}
 	}
-	clear(r.behind[len(left):])
-	r.behind = left
+	clear(r.awaitingReplica[len(remaining):])
+	r.awaitingReplica = remaining
 }
--- a/internal/bookkeeping/records_test.go
+++ b/internal/bookkeeping/records_test.go
@@ -11,9 +11,9 @@
 	"daledyke/internal/protocol"
 )
 
-// A roster stands in one value, so a thousand machines must go well into the
-// smallest that is known (8 KiB), however high their numbers are.
-func TestRosterIsSmallAndComesBack(t *testing.T) {
+// A roster is stored in one value, so a thousand machines must fit easily into the smallest known limit (8 KiB),
+// however high their numbers are.
+func TestRosterRoundTripIsSmall(t *testing.T) {
 	r := Roster{}
 	for n := range uint64(1000) {
 		r[4_000_000+n*42] = true
@@ -24,7 +24,7 @@
 	}
 	var back Slot
 	if err := json.Unmarshal(raw, &back); err != nil || !maps.Equal(back.Roster, r) {
-		t.Errorf("%d machines came back, %v", len(back.Roster), err)
+		t.Errorf("%d machines after the round trip, %v", len(back.Roster), err)
 	}
 }
 
@@ -37,7 +37,7 @@
 	for _, l := range RentalBatches(ms) {
 		total += len(l.Machines)
 		if len(l.Machines) > protocol.MaxRent {
-			t.Errorf("a batch of %d", len(l.Machines))
+			t.Errorf("a batch has %d machines", len(l.Machines))
 		}
 	}
 	if total != len(ms) {
@@ -45,15 +45,15 @@
 	}
 }
 
-// heard is a listener that only hears of machines.
-type heard struct {
+// machineListener is a listener that records only machines.
+type machineListener struct {
 	Listener
 	machines map[string]bool
 }
 
-func (h *heard) RentalBatchChanged(string, *RentalBatch) {}
-func (h *heard) JobChanged(*Job)                         {}
-func (h *heard) MachineChanged(id string, m *Machine) {
+func (h *machineListener) RentalBatchChanged(string, *RentalBatch) {}
+func (h *machineListener) JobChanged(*Job)                         {}
+func (h *machineListener) MachineChanged(id string, m *Machine) {
 	if m == nil {
 		delete(h.machines, id)
 	} else {
@@ -61,10 +61,10 @@
 	}
 }
 
-// A machine that two controllers found at once stands in two batches. It is gone
-// only when both have dropped it: a machine told to be gone is never awaited.
-func TestMachinesGoWithTheirLastBatch(t *testing.T) {
-	h := &heard{machines: map[string]bool{}}
+// A machine that two controllers found at once is in two batches. It is removed only when both batches have dropped
+// it, since no controller waits for a machine that was reported as removed.
+func TestMachineRemovedWithLastBatch(t *testing.T) {
+	h := &machineListener{machines: map[string]bool{}}
 	r := NewReplica(nil, nil, nil, h, nil)
 	batch := func(name string, version uint64, ids ...string) {
 		raw, _ := json.Marshal(RentalBatch{Type: "small", Zone: "a", Machines: ids, RentedMs: time.Now().UnixMilli()})
@@ -77,7 +77,7 @@
 		{func() { batch("b-1-1", 1, "h1", "h2") }, []string{"h1", "h2"}},
 		{func() { batch("h-2-1", 2, "h2", "h3") }, []string{"h1", "h2", "h3"}},
 		{func() { batch("b-1-1", 3, "h1") }, []string{"h1", "h2", "h3"}},
-		{func() { batch("b-1-1", 1, "h1", "h2") }, []string{"h1", "h2", "h3"}}, // an old event
+		{func() { batch("b-1-1", 1, "h1", "h2") }, []string{"h1", "h2", "h3"}}, // an outdated event
 		{func() { batch("h-2-1", 4, "h3") }, []string{"h1", "h3"}},
 		{func() { batch("b-1-1", 5) }, []string{"h3"}},
 	} {
@@ -92,46 +92,45 @@
 	}
 }
 
-// Jobs come for ever: what a controller keeps of those that are over is
-// bounded, and those that are not over are all kept.
-func TestJobsThatAreOverDontPileUp(t *testing.T) {
-	r := NewReplica(nil, func(*protocol.JobSpec) Seat { return Seat{Token: 0, Blocks: 1} }, func(*Job) Urgency { return Urgency{} }, &heard{}, nil)
+// The number of finished jobs that a controller keeps is bounded; unfinished jobs are all kept.
+func TestKeptFinishedJobsAreBounded(t *testing.T) {
+	r := NewReplica(nil, func(*protocol.JobSpec) RingPosition { return RingPosition{Token: 0, Blocks: 1} }, func(*Job) Urgency { return Urgency{} }, &machineListener{}, nil)
 	record := func(id, state string) []byte {
 		raw, _ := json.Marshal(jobRecord{Spec: &protocol.JobSpec{ID: id, Tasks: 1}, State: state})
 		return raw
 	}
-	for n := range uint64(maxOver + 500) {
+	for n := range uint64(maxFinishedJobs + 500) {
 		id := fmt.Sprintf("wk-%d", n)
 		r.apply(jobKey(id), false, record(id, protocol.Pending), 3*n+1)
 		if n%2 == 0 {
-			r.apply(overKey(id), false, record(id, protocol.Done), 3*n+2)
+			r.apply(archiveKey(id), false, record(id, protocol.Done), 3*n+2)
 			r.apply(jobKey(id), true, nil, 3*n+2)
 		}
 	}
-	for n := range uint64(maxOver) {
+	for n := range uint64(maxFinishedJobs) {
 		id := fmt.Sprintf("wk-x%d", n)
-		r.apply(overKey(id), false, record(id, protocol.Cancelled), 100_000+n)
+		r.apply(archiveKey(id), false, record(id, protocol.Cancelled), 100_000+n)
 	}
-	if want := maxOver + (maxOver+500)/2; len(r.jobs) != want || len(r.over) != maxOver {
-		t.Errorf("%d jobs are kept, want %d", len(r.jobs), want)
+	if want := maxFinishedJobs + (maxFinishedJobs+500)/2; len(r.jobs) != want || len(r.finished) != maxFinishedJobs {
+		t.Errorf("%d jobs kept, want %d", len(r.jobs), want)
 	}
-	// What an unfinished job needs is kept too.
-	l := newLedger(t)
+	// Finished jobs that an unfinished job needs are kept too.
+	l := newReplicaFixture(t)
 	l.accept("wk-a", "idle", 0)
 	l.accept("wk-c", "idle", 0)
 	l.accept("wk-b", "idle", 0, "wk-a", "wk-c")
 	l.end("wk-a", protocol.Done, 0)
-	for n := range maxOver + 10 {
+	for n := range maxFinishedJobs + 10 {
 		id := fmt.Sprintf("wk-%d", n)
 		l.accept(id, "idle", 0)
 		l.end(id, protocol.Done, 0)
 	}
-	if j := l.r.jobs["wk-a"]; j == nil || !j.Needed || len(l.r.over) > maxOver+1 {
-		t.Errorf("%+v, %d jobs that are over are kept", j, len(l.r.over))
+	if j := l.replica.jobs["wk-a"]; j == nil || !j.HasDependents || len(l.replica.finished) > maxFinishedJobs+1 {
+		t.Errorf("%+v, %d finished jobs kept", j, len(l.replica.finished))
 	}
 	l.end("wk-c", protocol.Done, 0)
 	l.end("wk-b", protocol.Done, 0)
-	if l.f.jobs["wk-a"].Needed {
-		t.Error("nobody was told that it is not needed any more")
+	if l.listener.jobs["wk-a"].HasDependents {
+		t.Error("the listener did not hear that no job needs wk-a any more")
 	}
 }
--- a/internal/bookkeeping/replica.go
+++ b/internal/bookkeeping/replica.go
@@ -14,8 +14,8 @@
 	"daledyke/internal/transport"
 )
 
-// Listener hears of every change of the records, in order, on the replica's
-// goroutine; it must pass it on without waiting for the replica.
+// Listener receives every change of the records, in order, on the replica's goroutine. It must not block on the
+// replica.
 type Listener interface {
 	JobChanged(*Job)
 	MemberChanged(name string, m *Member)
@@ -26,53 +26,53 @@
 	MachineChanged(id string, m *Machine)
 	CatalogChanged(*protocol.Catalog)
 	QuotasChanged(*Quotas)
-	// Synced: the replica held all changes up to now, where now is when the
-	// request was sent that showed it.
+	// Synced: the replica has applied all changes up to now, the time at which the request was sent that
+	// confirmed it.
 	Synced(now time.Time)
 }
 
-// Replica follows the records and tells listeners. It is an actor of its own.
+// Replica follows the records in the state service and notifies a listener. It is an actor.
 type Replica struct {
-	store   *Store
-	to      Listener
-	jobs    map[string]*Job
-	over    []string        // jobs that are over, in the order in which they ended
-	known   map[string]bool // other keys that exist
-	batches map[string]*RentalBatch
-	// homes is in how many batches a machine stands: more than one if it was
-	// found by several at once.
-	homes map[string]int
-	early map[string]map[int]Chunk
-	// chains are the jobs that name one another.
-	chains *chains
-	// divided are jobs whose descriptions stand in parts that are not read yet.
-	divided map[string]bool
-	// finding: what the records don't tell is being read; found are answers.
-	finding  bool
-	findFrom time.Time
-	found    chan []finding
-	catalog  catalogParts
-	// delayed are jobs whose time has not come.
+	store     *Store
+	listener  Listener
+	jobs      map[string]*Job
+	finished  []string        // jobs that are over, in the order in which this replica learned of it
+	knownKeys map[string]bool // existing keys of records other than jobs and results
+	batches   map[string]*RentalBatch
+	// batchCounts is the number of batches that contain a machine. It exceeds one if several controllers
+	// found the machine at once.
+	batchCounts  map[string]int
+	earlyResults map[string]map[int]Chunk
+	// dependencies is the graph of jobs that name one another.
+	dependencies *dependencyGraph
+	// unreadParts are the jobs whose descriptions are stored in parts that are not read yet.
+	unreadParts map[string]bool
+	// lookupActive: jobs are being looked up in the state service; lookups receives the results.
+	lookupActive bool
+	nextLookup   time.Time
+	lookups      chan []lookupResult
+	catalog      catalogAssembler
+	// delayed are the jobs whose earliest start lies in the future.
 	delayed map[string]time.Time
-	quotas  quotaParts
-	// caught hears up to which revision the listeners were told everything.
-	caught func(revision uint64)
-	// placeOf gives a job its place on the ring.
-	placeOf func(*protocol.JobSpec) Seat
-	// Block is how long one wait for changes may last; 0 is as usual.
-	Block time.Duration
+	quotas  quotaAssembler
+	// caughtUp is told the revision up to which the listener has been notified.
+	caughtUp func(revision uint64)
+	// positionOf returns a job's position on the ring.
+	positionOf func(*protocol.JobSpec) RingPosition
+	// WatchTimeout limits one wait for changes; 0 means the default.
+	WatchTimeout time.Duration
 }
 
-// NewReplica makes a replica; weigh gives a job's own urgency.
-func NewReplica(st *Store, placeOf func(*protocol.JobSpec) Seat, weigh func(*Job) Urgency, to Listener, caught func(uint64)) *Replica {
-	return &Replica{store: st, to: to, caught: caught, jobs: map[string]*Job{}, known: map[string]bool{}, batches: map[string]*RentalBatch{},
-		homes: map[string]int{}, early: map[string]map[int]Chunk{}, placeOf: placeOf, chains: newChains(weigh),
-		divided: map[string]bool{}, delayed: map[string]time.Time{}, found: make(chan []finding, 1)}
+// NewReplica returns a replica; urgencyOf returns a job's own urgency.
+func NewReplica(store *Store, positionOf func(*protocol.JobSpec) RingPosition, urgencyOf func(*Job) Urgency, listener Listener, caughtUp func(uint64)) *Replica {
+	return &Replica{store: store, listener: listener, caughtUp: caughtUp, jobs: map[string]*Job{}, knownKeys: map[string]bool{}, batches: map[string]*RentalBatch{},
+		batchCounts: map[string]int{}, earlyResults: map[string]map[int]Chunk{}, positionOf: positionOf, dependencies: newDependencyGraph(urgencyOf),
+		unreadParts: map[string]bool{}, delayed: map[string]time.Time{}, lookups: make(chan []lookupResult, 1)}
 }
 
-// watchBlock bounds one wait for changes, unless Block does, and so how stale a replica can be
-// while it believes to be fresh.
-const watchBlock = 3 * time.Second
+// defaultWatchTimeout limits one wait for changes, and so how stale a replica can be while it considers itself
+// up to date.
+const defaultWatchTimeout = 3 * time.Second
 
 // Run follows the records until ctx ends.
 func (r *Replica) Run(ctx context.Context) {
@@ -86,9 +86,9 @@
 			loaded = err == nil
 		} else {
 			var ev protocol.Events
-			block := cmp.Or(r.Block, watchBlock)
-			if r.find(ctx) {
-				block = findBlock
+			block := cmp.Or(r.WatchTimeout, defaultWatchTimeout)
+			if r.startLookups(ctx) {
+				block = lookupWatchTimeout
 			}
 			ev, err = r.store.state.Watch(ctx, Root, from, block)
 			if err == nil {
@@ -102,97 +102,94 @@
 			}
 		}
 		if err != nil {
-			slog.Debug("replica cannot follow", "err", err)
-			pause(ctx, 300*time.Millisecond)
+			slog.Debug("replica can't read changes", "err", err)
+			sleep(ctx, 300*time.Millisecond)
 			continue
 		}
 		select {
-		case found := <-r.found:
-			r.learn(found)
+		case found := <-r.lookups:
+			r.applyLookups(found)
 		default:
 		}
-		r.due(time.Now())
-		r.caught(from)
-		r.to.Synced(sent)
+		r.publishDue(time.Now())
+		r.caughtUp(from)
+		r.listener.Synced(sent)
 	}
 }
 
-// What the records at hand don't tell is read a few jobs at a time, beside the
-// watch, which meanwhile waits for no longer than findBlock. findAgain is when
-// what could not be found out is asked for again.
+// Jobs missing from the replica are looked up a few at a time, beside the watch, whose waits are limited to
+// lookupWatchTimeout meanwhile. Failed lookups are retried after lookupRetryDelay.
 const (
-	findBlock = 100 * time.Millisecond
-	findMost  = 8
-	findAgain = 500 * time.Millisecond
+	lookupWatchTimeout = 100 * time.Millisecond
+	maxLookups         = 8
+	lookupRetryDelay   = 500 * time.Millisecond
 )
 
-// finding is what was read of a job, nil if it was never accepted.
-type finding struct {
+// lookupResult is the result of looking up a job; job is nil if it was never accepted.
+type lookupResult struct {
 	id  string
 	job *Job
 	err error
 }
 
-// find has jobs looked up that others name and that the replica doesn't have,
-// being long over, and such whose descriptions stand in parts. It tells whether
-// an answer is due soon.
-func (r *Replica) find(ctx context.Context) bool {
-	ids := r.chains.lookUps(findMost)
-	for id := range r.divided {
-		if len(ids) == 2*findMost {
+// startLookups starts looking up jobs that others name but that the replica lacks since they ended long ago,
+// and jobs whose descriptions are stored in parts. It reports whether a lookup is in progress.
+func (r *Replica) startLookups(ctx context.Context) bool {
+	ids := r.dependencies.unknownJobs(maxLookups)
+	for id := range r.unreadParts {
+		if len(ids) == 2*maxLookups {
 			break
 		}
 		ids = append(ids, id)
 	}
-	if len(ids) == 0 || r.finding || time.Now().Before(r.findFrom) {
-		return r.finding
+	if len(ids) == 0 || r.lookupActive || time.Now().Before(r.nextLookup) {
+		return r.lookupActive
 	}
-	r.finding = true
+	r.lookupActive = true
 	go func() {
-		var out []finding
+		var out []lookupResult
 		for _, id := range ids {
-			j, err := r.store.ReadOver(ctx, id)
-			out = append(out, finding{id, j, err})
+			j, err := r.store.ReadArchived(ctx, id)
+			out = append(out, lookupResult{id, j, err})
 		}
-		r.found <- out // there is room: nothing else is asked for meanwhile
+		r.lookups <- out // never blocks: only one lookup runs at a time
 	}()
 	return true
 }
 
-// learn takes in what was found.
-func (r *Replica) learn(found []finding) {
-	r.finding = false
+// applyLookups takes in the results of lookups.
+func (r *Replica) applyLookups(found []lookupResult) {
+	r.lookupActive = false
 	for _, f := range found {
 		switch {
 		case f.err != nil:
-			r.findFrom = time.Now().Add(findAgain)
-			slog.Debug("job not looked up", "job", f.id, "err", f.err)
-		case r.divided[f.id] && f.job != nil:
-			delete(r.divided, f.id)
+			r.nextLookup = time.Now().Add(lookupRetryDelay)
+			slog.Debug("job lookup failed", "job", f.id, "err", f.err)
+		case r.unreadParts[f.id] && f.job != nil:
+			delete(r.unreadParts, f.id)
 			if r.jobs[f.id] == nil {
-				r.put(f.id, f.job)
+				r.updateJob(f.id, f.job)
 			}
 		case f.job != nil && !f.job.Final():
-			r.findFrom = time.Now().Add(findAgain) // it is about to come by the watch
+			r.nextLookup = time.Now().Add(lookupRetryDelay) // the watch will deliver it soon
 		default:
 			if f.job == nil {
 				slog.Error("a record names a job that was never accepted", "job", f.id)
 			}
-			r.publish(r.chains.learn(f.id, f.job))
+			r.republish(r.dependencies.resolve(f.id, f.job))
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// load reads all records but those of jobs that are over, which only grow in
-// number. Watching goes on from the first page's revision, so that no change
-// is missed between pages.
+// load reads all records except the archive, which grows without bound. Watching continues from the revision of
+// the first page, so that changes made between pages are not missed.
 func (r *Replica) load(ctx context.Context) (uint64, error) {
 	var first uint64
 	from := ""
@@ -207,7 +204,7 @@
 		}
 		end := !page.More || len(page.Pairs) == 0
 		for _, p := range page.Pairs {
-			if _, over := under(p.Key, overPrefix); over {
+			if _, over := keySuffix(p.Key, archivePrefix); over {
 				end = true
 				break
 			}
@@ -219,13 +216,13 @@
 			break
 		}
 	}
-	clear(r.early) // results that a job of a great many tasks left behind
+	clear(r.earlyResults) // leftover results of jobs that ended with more chunks than one transaction drops
 	for id, j := range r.jobs {
-		if final(j.Record) || seen[jobKey(id)] {
+		if final(j.RecordedState) || seen[jobKey(id)] {
 			continue
 		}
-		// It ended while the replica could not follow.
-		p, found, err := r.store.state.Get(ctx, transport.Vital, 3*time.Second, overKey(id))
+		// The job ended while the replica was disconnected.
+		p, found, err := r.store.state.Get(ctx, transport.Vital, 3*time.Second, archiveKey(id))
 		if err != nil {
 			return 0, err
 		}
@@ -233,7 +230,7 @@
 			r.apply(p.Key, false, p.Value, p.Version)
 		}
 	}
-	for key := range r.known {
+	for key := range r.knownKeys {
 		if !seen[key] {
 			r.apply(key, true, nil, first)
 		}
@@ -247,74 +244,74 @@
 	}
 	v := new(T)
 	if err := json.Unmarshal(raw, v); err != nil {
-		slog.Error("senseless record", "key", key, "err", err)
+		slog.Error("malformed record", "key", key, "err", err)
 		return nil
 	}
 	return v
 }
 
-// apply takes in a change of a record.
+// apply takes in a change of one record.
 func (r *Replica) apply(key string, dropped bool, raw json.RawMessage, version uint64) {
-	if id, ok := under(key, jobPrefix); ok {
+	if id, ok := keySuffix(key, jobPrefix); ok {
 		r.applyJob(key, id, false, parse[jobRecord](key, raw, dropped), version)
 		return
 	}
-	if id, ok := under(key, overPrefix); ok {
+	if id, ok := keySuffix(key, archivePrefix); ok {
 		r.applyJob(key, id, true, parse[jobRecord](key, raw, dropped), version)
 		return
 	}
-	if id, i, ok := splitResult(key); ok {
+	if id, i, ok := parseResultKey(key); ok {
 		if rec := parse[chunkRecord](key, raw, dropped); rec != nil {
-			r.result(id, i, Chunk{Bits: rec.Bits, Version: version})
+			r.applyResult(id, i, Chunk{Bits: rec.Bits, Version: version})
 		}
 		return
 	}
 	if dropped {
-		delete(r.known, key)
+		delete(r.knownKeys, key)
 	} else {
-		r.known[key] = true
+		r.knownKeys[key] = true
 	}
 	r.applyShared(key, dropped, raw, version)
 }
 
-// applyJob takes in a job's record, nil if it was dropped: that says nothing, since the job is over
-// and the record that says so came with it.
+// applyJob takes in a job's record. A nil record was dropped, which needs no action: the job is over, and its
+// archive record was written in the same transaction.
 func (r *Replica) applyJob(key, id string, archived bool, rec *jobRecord, version uint64) {
 	switch {
 	case rec == nil:
-	case rec.Spec == nil && r.jobs[id] == nil && rec.Parts > 0:
-		r.divided[id] = true
+	case rec.Spec == nil && r.jobs[id] == nil && rec.PartCount > 0:
+		r.unreadParts[id] = true
 	case rec.Spec == nil && r.jobs[id] == nil:
-		slog.Error("senseless record", "key", key)
+		slog.Error("malformed record", "key", key)
 	default:
-		delete(r.divided, id)
+		delete(r.unreadParts, id)
 		j := r.jobs[id].withRecord(rec, version)
 		if archived && !j.Archived {
 			moved := *j
 			moved.Archived, j = true, &moved
 		}
-		r.put(id, j)
+		r.updateJob(id, j)
 	}
 }
 
-// applyShared takes in a record that all controllers go by: sessions, slots, batches, the leader, the
-// window, accounts and the catalogue.
+// applyShared takes in a record that all controllers share: sessions, slots, batches, the leader, the window,
+// quotas and the catalogue.
 func (r *Replica) applyShared(key string, dropped bool, raw json.RawMessage, version uint64) {
-	if name, ok := under(key, memberPrefix); ok {
+	if name, ok := keySuffix(key, memberPrefix); ok {
 		m := parse[Member](key, raw, dropped)
 		if m != nil {
 			m.Version = version
 		}
-		r.to.MemberChanged(name, m)
-	} else if num, ok := under(key, slotPrefix); ok {
+		r.listener.MemberChanged(name, m)
+	} else if num, ok := keySuffix(key, slotPrefix); ok {
 		slot, err := strconv.Atoi(num)
 		s := parse[Slot](key, raw, dropped)
 		if s != nil && err == nil {
-			s.unpack()
+			s.unpackRoster()
 			s.Version = version
-			r.to.SlotChanged(slot, s)
+			r.listener.SlotChanged(slot, s)
 		}
-	} else if name, ok := under(key, batchPrefix); ok {
+	} else if name, ok := keySuffix(key, batchPrefix); ok {
 		l := parse[RentalBatch](key, raw, dropped)
 		if l != nil {
 			l.Version = version
@@ -327,20 +324,20 @@
 		if l != nil {
 			l.Version = version
 		}
-		r.to.LeaderChanged(l)
+		r.listener.LeaderChanged(l)
 	} else if key == keyWindow {
 		if w := parse[Window](key, raw, dropped); w != nil {
 			w.Version = version
-			r.to.WindowChanged(w)
+			r.listener.WindowChanged(w)
 		}
 	} else if key == keyQuotas || strings.HasPrefix(key, quotaPrefix) {
-		if q := r.quotas.take(key, raw, version, dropped); q != nil {
-			r.to.QuotasChanged(q)
+		if q := r.quotas.update(key, raw, version, dropped); q != nil {
+			r.listener.QuotasChanged(q)
 		}
 	} else if key == keyCatalog || strings.HasPrefix(key, catalogPrefix) {
 		if rec := parse[catalogRecord](key, raw, dropped); rec != nil {
-			if c := r.catalog.take(*rec, version); c != nil {
-				r.to.CatalogChanged(c)
+			if c := r.catalog.add(*rec, version); c != nil {
+				r.listener.CatalogChanged(c)
 			}
 		}
 	}
--- a/internal/bookkeeping/sizes.go
+++ b/internal/bookkeeping/sizes.go
@@ -17,41 +17,39 @@
 	"daledyke/internal/transport"
 )
 
-// What fits into a value of the state service, and what becomes of what
-// doesn't. Limits may fall while the service runs: what was stored under
-// larger ones stays readable, and must still fit when it is written again.
+// Limits on the size of values, and how larger records are stored. Limits may be lowered while the service runs:
+// what was stored under higher limits stays readable, and must still fit when it is written again.
 
-// size is how many bytes a value takes.
-func size(v any) int {
+// encodedSize is the size of a value in bytes.
+func encodedSize(v any) int {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		return 0 // the client says so when it is sent
+		return 0 // the client reports the error when the value is sent
 	}
 	return len(raw)
 }
 
-func (s *Store) fits(v any) bool { return size(v) <= s.valueBytes }
+func (s *Store) fits(v any) bool { return encodedSize(v) <= s.valueBytes }
 
-// ---- what stands in parts: descriptions of jobs, quotas
+// ---- values stored in parts: job descriptions, quotas
 
-// partRecord is a part of something that is compressed first.
+// partRecord is a part of a compressed value.
 type partRecord struct {
 	Data []byte `json:"z"`
 }
 
-// mostDescription bounds a description, which came in a request's body.
-const mostDescription = 1 << 20
+// maxDescriptionBytes bounds a job description, which arrives in one request body.
+const maxDescriptionBytes = 1 << 20
 
-// divide compresses a value and divides it into parts; sum tells different values
-// apart.
-func (s *Store) divide(v any) (parts []partRecord, sum string, err error) {
+// splitValue compresses a value and splits it into parts. sum identifies the value.
+func (s *Store) splitValue(v any) (parts []partRecord, sum string, err error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return nil, "", err
 	}
 	hash := sha256.Sum256(raw)
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestCompression)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestCompression)
 	if err == nil {
 		_, err = w.Write(raw)
 	}
@@ -61,16 +59,16 @@
 	if err != nil {
 		return nil, "", err
 	}
-	most := (s.valueBytes - size(partRecord{Data: []byte{}})) / 4 * 3 // as base64
-	for part := range slices.Chunk(packed.Bytes(), most) {
+	maxPart := (s.valueBytes - encodedSize(partRecord{Data: []byte{}})) / 4 * 3 // base64 takes 4 bytes for 3
+	for part := range slices.Chunk(compressed.Bytes(), maxPart) {
 		parts = append(parts, partRecord{part})
 	}
 	return parts, hex.EncodeToString(hash[:8]), nil
 }
 
-// join reads a value that stands in parts.
-func join[T any](parts [][]byte, most int64) (*T, error) {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(slices.Concat(parts...))), most))
+// joinParts decodes a value that is stored in parts.
+func joinParts[T any](parts [][]byte, limit int64) (*T, error) {
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(slices.Concat(parts...))), limit))
 	if err != nil {
 		return nil, err
 	}
@@ -78,22 +76,21 @@
 	return v, json.Unmarshal(raw, v)
 }
 
-// writeParts writes the parts of a description, but for those that an earlier
-// try of the same submission has written. The record that makes the job
-// accepted comes last.
+// writeParts writes the parts of a description, except those that an earlier attempt of the same submission
+// wrote. The record that accepts the job is written after them.
 func (s *Store) writeParts(ctx context.Context, id, sum string, parts []partRecord) error {
-	there, err := s.listParts(ctx, id, sum)
+	existing, err := s.listParts(ctx, id, sum)
 	if err != nil {
 		return err
 	}
 	var then []protocol.Change
 	for k, p := range parts {
-		if key := partKey(id, sum, k); there[key] == nil {
+		if key := partKey(id, sum, k); existing[key] == nil {
 			then = append(then, set(key, p, 0))
 		}
 	}
 	for some := range slices.Chunk(then, s.txnOps) {
-		if err := s.commit(ctx, transport.Urgent, userPatience, nil, some...); err != nil {
+		if err := s.commit(ctx, transport.Urgent, userTimeout, nil, some...); err != nil {
 			return err
 		}
 	}
@@ -101,7 +98,7 @@
 }
 
 func (s *Store) listParts(ctx context.Context, id, sum string) (map[string]json.RawMessage, error) {
-	page, err := s.state.List(ctx, transport.Urgent, partKeys(id, sum), "", transport.MaxPage)
+	page, err := s.state.List(ctx, transport.Urgent, partKeyPrefix(id, sum), "", transport.MaxPage)
 	if err != nil {
 		return nil, err
 	}
@@ -112,43 +109,44 @@
 	return out, nil
 }
 
-// whole completes a record whose description stands in parts.
-func (s *Store) whole(ctx context.Context, id string, r *jobRecord) error {
-	if r.Spec != nil || r.Parts == 0 {
+// loadSpec reads the description of a record that is stored in parts.
+func (s *Store) loadSpec(ctx context.Context, id string, r *jobRecord) error {
+	if r.Spec != nil || r.PartCount == 0 {
 		return nil
 	}
-	there, err := s.listParts(ctx, id, r.Sum)
+	existing, err := s.listParts(ctx, id, r.Sum)
 	if err != nil {
 		return err
 	}
 	var parts [][]byte
-	for k := range r.Parts {
-		raw, ok := there[partKey(id, r.Sum, k)]
+	for k := range r.PartCount {
+		raw, ok := existing[partKey(id, r.Sum, k)]
 		var p partRecord
 		if !ok || json.Unmarshal(raw, &p) != nil {
 			return fmt.Errorf("part %d of the description of %s is missing or senseless", k, id)
 		}
 		parts = append(parts, p.Data)
 	}
-	r.Spec, err = join[protocol.JobSpec](parts, mostDescription)
+	r.Spec, err = joinParts[protocol.JobSpec](parts, maxDescriptionBytes)
 	return err
 }
 
-// dropsOf are the changes that drop all that stands beside a job's record.
-func dropsOf(j *Job) (drops []protocol.Change) {
+// attachedDrops returns the changes that drop all keys stored beside a job's record: its results and the parts
+// of its description.
+func attachedDrops(j *Job) (drops []protocol.Change) {
 	for c, ch := range j.Results {
 		if ch.Version > 0 {
 			drops = append(drops, protocol.Change{Drop: resultKey(j.Spec.ID, c)})
 		}
 	}
-	for k := range j.parts {
+	for k := range j.partCount {
 		drops = append(drops, protocol.Change{Drop: partKey(j.Spec.ID, j.sum, k)})
 	}
 	return drops
 }
 
-// brief leaves out of a record what only people would read, if it is too large.
-func (s *Store) brief(r *jobRecord) *jobRecord {
+// trimToFit removes the fields that only people read from a record that is too large.
+func (s *Store) trimToFit(r *jobRecord) *jobRecord {
 	if !s.fits(r) {
 		spec := *r.Spec
 		spec.Class, spec.Image, spec.Zone, spec.Batch = "", "", nil, nil
@@ -159,49 +157,47 @@
 
 // ---- rosters
 
-// packed gives a slot's record a form that takes some 1.5 bytes a machine, if
-// the usual one is too large. The version before chains does not know that
-// form; it sees a slot whose roster was not kept, and waits until all that may
-// be there has surely lapsed. Once no such version is left, this can be the
-// only form.
-func (s *Store) packed(rec Slot) Slot {
+// packRoster converts the roster of a slot's record to a form that takes some 1.5 bytes a machine, if the usual
+// form is too large. Versions that don't know job dependencies don't know the packed form either: to them no roster
+// was kept, and they wait until everything that may run there has surely lapsed. Once no such version runs, the
+// packed form can be the only one.
+func (s *Store) packRoster(rec Slot) Slot {
 	if s.fits(rec) {
 		return rec
 	}
 	last := uint64(0)
 	for _, n := range slices.Sorted(maps.Keys(rec.Roster)) {
-		rec.Packed = binary.AppendUvarint(rec.Packed, n-last)
+		rec.PackedRoster = binary.AppendUvarint(rec.PackedRoster, n-last)
 		last = n
 	}
-	rec.Roster, rec.Unlisted, rec.Listed = nil, !rec.Listed, false
+	rec.Roster, rec.RosterUnknown, rec.RosterKnown = nil, !rec.RosterKnown, false
 	return rec
 }
 
-// unpack brings a slot's record into the usual form.
-func (r *Slot) unpack() {
-	if r.Packed == nil {
+// unpackRoster converts a slot's record to the usual form.
+func (r *Slot) unpackRoster() {
+	if r.PackedRoster == nil {
 		return
 	}
-	r.Roster, r.Listed = Roster{}, !r.Unlisted
+	r.Roster, r.RosterKnown = Roster{}, !r.RosterUnknown
 	last := uint64(0)
-	for rest := r.Packed; len(rest) > 0; {
+	for rest := r.PackedRoster; len(rest) > 0; {
 		step, n := binary.Uvarint(rest)
 		if n <= 0 {
-			r.Listed = false // senseless: who takes the slot waits
+			r.RosterKnown = false // malformed: a controller that takes the slot waits for leases to lapse
 			break
 		}
 		last += step
 		r.Roster[last] = true
 		rest = rest[n:]
 	}
-	r.Packed, r.Unlisted = nil, false
+	r.PackedRoster, r.RosterUnknown = nil, false
 }
 
 // ---- batches
 
-// divided are the records for a batch: one, unless the machines' names are too
-// long for that.
-func (s *Store) divided(name string, l RentalBatch) map[string]RentalBatch {
+// splitBatch returns the records for a batch: one, unless the machine names are too long for one value.
+func (s *Store) splitBatch(name string, l RentalBatch) map[string]RentalBatch {
 	out := map[string]RentalBatch{}
 	ids := l.Machines
 	for k := 0; ; k++ {
@@ -222,22 +218,21 @@
 
 // ---- the catalogue
 
-// catalogRecord is the catalogue, or a part of it. The version before chains
-// reads only what stands whole under one key, and goes on by what it finds
-// there or asks the cloud.
+// catalogRecord is the catalogue, or a part of it. Versions that don't know job dependencies read only a catalogue
+// that is stored whole under one key. They use the last one stored that way, or ask the cloud.
 type catalogRecord struct {
 	protocol.Catalog
-	Part int   `json:"part,omitempty"`
-	Of   int   `json:"of,omitempty"`
-	Made int64 `json:"made,omitempty"`
+	Part      int   `json:"part,omitempty"`
+	PartCount int   `json:"of,omitempty"`
+	CreatedMs int64 `json:"made,omitempty"`
 }
 
-// catalogRecords divides a catalogue into values that fit.
-func (s *Store) catalogRecords(c protocol.Catalog, made int64) (out []catalogRecord) {
-	if one := (catalogRecord{Catalog: c}); s.fits(one) {
-		return []catalogRecord{one}
+// catalogRecords splits a catalogue into values that fit.
+func (s *Store) catalogRecords(c protocol.Catalog, createdMs int64) (out []catalogRecord) {
+	if whole := (catalogRecord{Catalog: c}); s.fits(whole) {
+		return []catalogRecord{whole}
 	}
-	next := catalogRecord{Of: len(c.Types), Made: made} // the longest that the numbers can be
+	next := catalogRecord{PartCount: len(c.Types), CreatedMs: createdMs} // the largest these numbers can be
 	for _, t := range c.Types {
 		more := next
 		more.Types = append(slices.Clone(next.Types), t)
@@ -250,41 +245,40 @@
 	}
 	out = append(out, next)
 	for i := range out {
-		out[i].Part, out[i].Of = i, len(out)
+		out[i].Part, out[i].PartCount = i, len(out)
 	}
 	return out
 }
 
-// catalogParts puts a catalogue together that came in parts.
-type catalogParts struct {
-	parts   map[int]catalogRecord
-	made    int64
-	version uint64 // of what was last told
+// catalogAssembler assembles a catalogue from its parts.
+type catalogAssembler struct {
+	parts            map[int]catalogRecord
+	createdMs        int64
+	publishedVersion uint64 // of the last catalogue returned
 }
 
-// take takes in a record and gives the catalogue if it is whole and newer than
-// what was told before.
-func (p *catalogParts) take(r catalogRecord, version uint64) *protocol.Catalog {
-	if r.Of == 0 {
-		if version < p.version {
+// add takes in a record, and returns the catalogue if it is complete and newer than the last one returned.
+func (p *catalogAssembler) add(r catalogRecord, version uint64) *protocol.Catalog {
+	if r.PartCount == 0 {
+		if version < p.publishedVersion {
 			return nil
 		}
-		p.version = version
+		p.publishedVersion = version
 		return &r.Catalog
 	}
-	if r.Made != p.made {
-		if r.Made < p.made {
+	if r.CreatedMs != p.createdMs {
+		if r.CreatedMs < p.createdMs {
 			return nil
 		}
-		p.parts, p.made = map[int]catalogRecord{}, r.Made
+		p.parts, p.createdMs = map[int]catalogRecord{}, r.CreatedMs
 	}
 	p.parts[r.Part] = r
-	if len(p.parts) < r.Of || version < p.version {
+	if len(p.parts) < r.PartCount || version < p.publishedVersion {
 		return nil
 	}
-	p.version = version
+	p.publishedVersion = version
 	var c protocol.Catalog
-	for part := range r.Of {
+	for part := range r.PartCount {
 		c.Types = append(c.Types, p.parts[part].Types...)
 	}
 	return &c
--- a/internal/bookkeeping/store.go
+++ b/internal/bookkeeping/store.go
@@ -13,81 +13,80 @@
 	"daledyke/internal/transport"
 )
 
-// ErrConflict says that the records are no longer what the change was based on.
+// ErrConflict means that a record changed after the version that a change was based on.
 var ErrConflict = errors.New("record changed meanwhile")
 
-// Store writes and reads records in the state service. It keeps nothing.
+// Store writes and reads records in the state service. It is stateless apart from request statistics.
 type Store struct {
 	state *transport.State
-	// txnOps and valueBytes are the smallest limits that are known: on the
-	// changes of a transaction, and on a value.
+	// txnOps and valueBytes are the smallest known limits on the number of changes in a transaction and on
+	// the size of a value.
 	txnOps, valueBytes int
-	kinds              map[string]*kindCount
+	kinds              map[string]*kindStats
 }
 
-// kindCount is what became of the changes of one kind of record.
-type kindCount struct {
-	asked atomic.Int64
-	// refused is the size of the largest value in a transaction that the state
-	// service called malformed, refusedAt when that was, by its milliseconds.
-	refused, refusedAt atomic.Int64
+// kindStats counts the requested changes of one kind of record and remembers the last rejected value.
+type kindStats struct {
+	requested atomic.Int64
+	// rejectedSize is the size of the largest value in a transaction that the state service rejected as
+	// malformed; rejectedAtMs is when that happened.
+	rejectedSize, rejectedAtMs atomic.Int64
 }
 
-// NewStore makes a store.
+// NewStore returns a store with the given limits on transactions and values.
 func NewStore(s *transport.State, txnOps, valueBytes int) *Store {
-	counts := map[string]*kindCount{}
-	for _, kind := range kinds {
-		counts[kind.name] = &kindCount{}
+	counts := map[string]*kindStats{}
+	for _, kind := range recordKinds {
+		counts[kind.name] = &kindStats{}
 	}
 	return &Store{state: s, txnOps: txnOps, valueBytes: valueBytes, kinds: counts}
 }
 
-// refusalHolds is for how long a value is not sent that is as large as one that
-// the state service called malformed.
-const refusalHolds = 30 * time.Second
+// rejectionBackoff is how long the store withholds values at least as large as one that the state service
+// rejected as malformed.
+const rejectionBackoff = 30 * time.Second
 
-// try makes a transaction and counts what it would change. What can't be
-// written as it is would be tried for ever by the loops above: it is not sent,
-// or not again for a while.
-func (s *Store) try(ctx context.Context, u transport.Urgency, timeout time.Duration, conds []protocol.Condition, then []protocol.Change) (protocol.TxnAnswer, bool, error) {
-	large, largest := "", 0
+// transact runs a transaction and counts its changes. Callers retry without end, so a value that can't be stored
+// is not sent at all, or not again until rejectionBackoff has passed.
+func (s *Store) transact(ctx context.Context, u transport.Urgency, timeout time.Duration, conds []protocol.Condition, then []protocol.Change) (protocol.TxnAnswer, bool, error) {
+	largestKind, largest := "", 0
 	for _, c := range then {
-		kind := kindOf(c.Set + c.Drop)
-		s.kinds[kind].asked.Add(1)
-		if n := size(c.Value); n > largest {
-			large, largest = kind, n
+		kind := recordKind(c.Set + c.Drop)
+		s.kinds[kind].requested.Add(1)
+		if n := encodedSize(c.Value); n > largest {
+			largestKind, largest = kind, n
 		}
 	}
-	var k *kindCount
-	if k = s.kinds[large]; k != nil {
-		held := k.refused.Load() > 0 && int64(largest) >= k.refused.Load()
-		recent := time.Since(time.UnixMilli(k.refusedAt.Load())) < refusalHolds
-		if held && recent {
+	var stats *kindStats
+	if stats = s.kinds[largestKind]; stats != nil {
+		rejected := stats.rejectedSize.Load() > 0 && int64(largest) >= stats.rejectedSize.Load()
+		recent := time.Since(time.UnixMilli(stats.rejectedAtMs.Load())) < rejectionBackoff
+		if rejected && recent {
 			return protocol.TxnAnswer{}, false, transport.ErrInvalid
 		}
 		if largest > s.valueBytes {
-			k.refuse(large, largest, errors.New("it exceeds the limit that the settings name"))
+			stats.recordRejection(largestKind, largest, errors.New("the value exceeds the configured limit"))
 			return protocol.TxnAnswer{}, false, transport.ErrInvalid
 		}
 	}
 	ans, ok, err := s.state.Commit(ctx, u, timeout, protocol.Txn{If: conds, Then: then})
-	if errors.Is(err, transport.ErrInvalid) && k != nil {
-		k.refuse(large, largest, err)
+	if errors.Is(err, transport.ErrInvalid) && stats != nil {
+		stats.recordRejection(largestKind, largest, err)
 	}
 	return ans, ok, err
 }
 
-func (k *kindCount) refuse(kind string, size int, why error) {
-	k.refused.Store(int64(size))
-	k.refusedAt.Store(time.Now().UnixMilli())
+func (k *kindStats) recordRejection(kind string, size int, why error) {
+	k.rejectedSize.Store(int64(size))
+	k.rejectedAtMs.Store(time.Now().UnixMilli())
 	slog.Error("the state service can't take a record", "kind", kind, "bytes", size, "err", why)
 }
 
-// Changes is how many changes were asked for so far, by kind of record.
+// Changes returns the number of changes requested so far, by kind of record.
 func (s *Store) Changes() map[string]int64 {
 	out := make(map[string]int64, len(s.kinds))
 	for kind, n := range s.kinds {
-		out[kind] = n.asked.Load()
+		out[kind] = n.requested.Load()
 	}
 	return out
 }
@@ -109,7 +108,7 @@
 }
 
 func (s *Store) commit(ctx context.Context, u transport.Urgency, timeout time.Duration, conds []protocol.Condition, then ...protocol.Change) error {
-	_, ok, err := s.try(ctx, u, timeout, conds, then)
+	_, ok, err := s.transact(ctx, u, timeout, conds, then)
 	if err == nil && !ok {
 		err = ErrConflict
 	}
--- a/internal/bookkeeping/store_machines.go
+++ b/internal/bookkeeping/store_machines.go
@@ -12,9 +12,9 @@
 	"daledyke/internal/transport"
 )
 
-// What the store does with machines and the catalogue.
+// Operations on machines and the catalogue.
 
-// Machines reads the registry afresh.
+// Machines reads the machine registry from the state service.
 func (s *Store) Machines(ctx context.Context) ([]*Machine, error) {
 	var out []*Machine
 	from := ""
@@ -37,11 +37,11 @@
 	}
 }
 
-// AddRentalBatch registers machines under a batch's name that was never used.
+// AddRentalBatch registers machines under a batch name that was never used before.
 func (s *Store) AddRentalBatch(ctx context.Context, u transport.Urgency, name string, l RentalBatch) error {
-	for part, l := range s.divided(name, l) {
+	for part, l := range s.splitBatch(name, l) {
 		err := s.commit(ctx, u, 4*time.Second, []protocol.Condition{{Key: batchKey(part)}}, set(batchKey(part), l, 0))
-		// One that is there already was written by an earlier try.
+		// An existing record was written by an earlier attempt.
 		if err != nil && !errors.Is(err, ErrConflict) {
 			return err
 		}
@@ -49,13 +49,13 @@
 	return nil
 }
 
-// DropMachines takes machines that are gone out of the batches given, as these
-// were last seen. A batch that changed meanwhile fails only those written with it.
+// DropMachines removes machines that are gone from the given batches, as last seen. A batch that changed meanwhile
+// fails only the batches in the same transaction.
 func (s *Store) DropMachines(ctx context.Context, ids map[string]bool, batches map[string]*RentalBatch) error {
 	var failed error
 	var conds []protocol.Condition
 	var then []protocol.Change
-	write := func() {
+	flush := func() {
 		if len(then) == 0 {
 			return
 		}
@@ -69,10 +69,10 @@
 		seen := protocol.Condition{Key: batchKey(name), Version: l.Version}
 		l.Machines = slices.DeleteFunc(slices.Clone(l.Machines), func(id string) bool { return ids[id] })
 		change := set(batchKey(name), l, 0)
-		if rest := l.Machines; len(rest) > 0 && !s.fits(l) {
-			// It was stored when values could be larger. The rest is registered
-			// anew first: a machine that no batch names counts as gone.
-			if err := s.AddRentalBatch(ctx, transport.Ordinary, name+"."+rest[0], l); err != nil {
+		if remaining := l.Machines; len(remaining) > 0 && !s.fits(l) {
+			// The batch was stored under a higher limit on values. The remaining machines are registered in new
+			// records first, since a machine that no batch names counts as gone.
+			if err := s.AddRentalBatch(ctx, transport.Ordinary, name+"."+remaining[0], l); err != nil {
 				failed = err
 				continue
 			}
@@ -82,21 +82,21 @@
 			change = protocol.Change{Drop: batchKey(name)}
 		}
 		if len(then) == s.txnOps {
-			write()
+			flush()
 		}
 		conds, then = append(conds, seen), append(then, change)
 	}
-	write()
+	flush()
 	return failed
 }
 
-// SaveCatalog records the catalogue, so that a controller that starts while
-// the cloud is silent knows the machine types.
+// SaveCatalog records the catalogue, so that a controller that starts while the cloud is unreachable knows the
+// machine types.
 func (s *Store) SaveCatalog(ctx context.Context, c protocol.Catalog) error {
 	recs := s.catalogRecords(c, time.Now().UnixMilli())
 	for _, r := range recs {
 		key := keyCatalog
-		if r.Of > 0 {
+		if r.PartCount > 0 {
 			key = fmt.Sprintf("%s%03d", catalogPrefix, r.Part)
 		}
 		if err := s.commit(ctx, transport.Ordinary, 3*time.Second, nil, set(key, r, 0)); err != nil {
--- a/internal/bookkeeping/store_slots.go
+++ b/internal/bookkeeping/store_slots.go
@@ -9,45 +9,43 @@
 	"daledyke/internal/transport"
 )
 
-// What the store does with terms, sessions, slots and windows.
+// Operations on terms, sessions, slots and windows.
 
-// termTries is how often a term is tried for while others take terms too, and
-// termPause how long at most the first wait between tries is.
+// maxTermAttempts limits the attempts to take a term while other controllers take terms too. termRetryDelay is
+// the maximum wait after the first attempt; the maximum grows linearly.
 const (
-	termTries = 6
-	termPause = 60 * time.Millisecond
+	maxTermAttempts = 6
+	termRetryDelay  = 60 * time.Millisecond
 )
 
-// TakeTerm takes a new term from the counter and makes the changes that need
-// it in the same transaction. When all controllers start at once they take
-// their terms at once: whoever is late tries again.
-func (s *Store) TakeTerm(ctx context.Context, with func(term uint64) []protocol.Change) (uint64, error) {
-	for try := 1; ; try++ {
-		c, version, err := get[Counter](ctx, s, transport.Vital, 3*time.Second, keyTerm)
+// TakeTerm takes a new term from the counter, and makes the changes that depend on it in the same transaction.
+// Controllers that start at once compete for the counter; an attempt that loses is retried.
+func (s *Store) TakeTerm(ctx context.Context, changes func(term uint64) []protocol.Change) (uint64, error) {
+	for attempt := 1; ; attempt++ {
+		c, version, err := get[TermCounter](ctx, s, transport.Vital, 3*time.Second, keyTerm)
 		if err != nil {
 			return 0, err
 		}
-		next := Counter{Term: 1}
+		next := TermCounter{Term: 1}
 		if c != nil {
 			next.Term = c.Term + 1
 		}
 		then := []protocol.Change{set(keyTerm, next, 0)}
-		if with != nil {
-			then = append(then, with(next.Term)...)
+		if changes != nil {
+			then = append(then, changes(next.Term)...)
 		}
-		_, ok, err := s.try(ctx, transport.Vital, 3*time.Second, []protocol.Condition{{Key: keyTerm, Version: version}}, then)
+		_, ok, err := s.transact(ctx, transport.Vital, 3*time.Second, []protocol.Condition{{Key: keyTerm, Version: version}}, then)
 		switch {
 		case err != nil || ok:
 			return next.Term, err
-		case try == termTries:
+		case attempt == maxTermAttempts:
 			return 0, ErrConflict
 		}
-		pause(ctx, rand.N(time.Duration(try)*termPause))
+		sleep(ctx, rand.N(time.Duration(attempt)*termRetryDelay))
 	}
 }
 
-// Join opens a session: a new term and a member record that lives with a
-// fresh lease.
+// Join opens a session: it takes a new term and writes a member record under a new lease.
 func (s *Store) Join(ctx context.Context, name string, ttl time.Duration) (term, lease uint64, sent time.Time, err error) {
 	sent = time.Now()
 	if lease, err = s.state.OpenLease(ctx, ttl); err != nil {
@@ -64,9 +62,8 @@
 	return s.state.TouchLease(ctx, timeout, lease)
 }
 
-// UpdateMember rewrites this controller's own member record, if it is still
-// that of the same process: applied late, after a restart, it must not put a
-// dead process's session in place of the living one's.
+// UpdateMember rewrites this controller's own member record if the record still belongs to the same process.
+// A delayed update that is applied after a restart must not replace the session of the new process.
 func (s *Store) UpdateMember(ctx context.Context, name string, m Member, lease uint64) error {
 	m.Generation = Generation
 	seen, version, err := get[Member](ctx, s, transport.Ordinary, 3*time.Second, memberKey(name))
@@ -80,7 +77,7 @@
 		set(memberKey(name), m, lease))
 }
 
-// Lead tries to become leader, in place of the record last seen (nil: none).
+// Lead tries to become leader, replacing the last seen record (nil: none).
 func (s *Store) Lead(ctx context.Context, seen *Leader, me Leader, lease uint64) error {
 	c := protocol.Condition{Key: keyLeader}
 	if seen != nil {
@@ -89,8 +86,7 @@
 	return s.commit(ctx, transport.Vital, 3*time.Second, []protocol.Condition{c}, set(keyLeader, me, lease))
 }
 
-// PublishWindow writes the next window, provided that the leader's record is
-// still the one given and the last window is still the one seen.
+// PublishWindow writes the next window if the given leader record and the last seen window are still current.
 func (s *Store) PublishWindow(ctx context.Context, leader *Leader, seen *Window, w Window) error {
 	conds := []protocol.Condition{{Key: keyLeader, Version: leader.Version}, {Key: keyWindow}}
 	if seen != nil {
@@ -99,7 +95,7 @@
 	return s.commit(ctx, transport.Vital, 3*time.Second, conds, set(keyWindow, w, 0))
 }
 
-// ReadWindow reads the newest window afresh.
+// ReadWindow reads the newest window from the state service.
 func (s *Store) ReadWindow(ctx context.Context) (*Window, error) {
 	w, version, err := get[Window](ctx, s, transport.Vital, 3*time.Second, keyWindow)
 	if w != nil {
@@ -108,28 +104,27 @@
 	return w, err
 }
 
-// Claim is a slot that is to be taken: the record it stands on (nil: none)
-// and, if the former holder must be without a session, what shows that.
+// Claim is a slot to be taken: the last seen record (nil: none) and, if the former holder must have no session,
+// the condition that verifies this.
 type Claim struct {
 	Slot int
 	Seen *Slot
-	// Former is the former holder; its member record must have FormerVersion
-	// (0: must not exist).
+	// Former is the former holder; its member record must have FormerVersion (0: must not exist).
 	Former        string
 	FormerVersion uint64
 }
 
-// Listed tells whether the slot's roster names all machines that may have
-// tasks: not if the record is of a version that kept none.
-func (c *Claim) Listed() bool { return c.Seen == nil || c.Seen.Listed }
+// RosterKnown reports whether the slot's roster names all machines that may have tasks. It does not if a version
+// that keeps no rosters wrote the record.
+func (c *Claim) RosterKnown() bool { return c.Seen == nil || c.Seen.RosterKnown }
 
-// MostClaims is how many slots can be taken, or rewritten, at once.
-func (s *Store) MostClaims() int { return s.txnOps }
+// MaxClaims is the maximum number of slots that can be taken or rewritten at once.
+func (s *Store) MaxClaims() int { return s.txnOps }
 
-// TakeSlots takes slots under one new term, with their rosters. The term is
-// taken first, by itself: many controllers that start together compete for the
-// counter, and what loses is charged for all its changes. A slot's terms rise
-// all the same, since its record must be the one seen, of an older term.
+// TakeSlots takes slots under one new term and keeps their rosters. The term is taken in a transaction of its
+// own: many controllers that start together compete for the counter, and a failed transaction is charged for
+// all its changes. The terms of a slot still increase, since the replaced record must be the one seen, with an
+// older term.
 func (s *Store) TakeSlots(ctx context.Context, name string, incarnation uint64, claims []Claim) (uint64, error) {
 	term, err := s.TakeTerm(ctx, nil)
 	if err != nil {
@@ -139,14 +134,14 @@
 	var then []protocol.Change
 	guarded := map[string]bool{}
 	for _, c := range claims {
-		cond, rec := protocol.Condition{Key: slotKey(c.Slot)}, Slot{Holder: name, Incarnation: incarnation, Term: term, Listed: c.Listed()}
+		cond, rec := protocol.Condition{Key: slotKey(c.Slot)}, Slot{Holder: name, Incarnation: incarnation, Term: term, RosterKnown: c.RosterKnown()}
 		if c.Seen != nil {
 			if c.Seen.Term >= term {
 				return 0, ErrConflict
 			}
 			cond.Version, rec.Roster = c.Seen.Version, c.Seen.Roster
 		}
-		conds, then = append(conds, cond), append(then, set(slotKey(c.Slot), s.packed(rec), 0))
+		conds, then = append(conds, cond), append(then, set(slotKey(c.Slot), s.packRoster(rec), 0))
 		if c.Former != "" && !guarded[c.Former] {
 			guarded[c.Former] = true
 			conds = append(conds, protocol.Condition{Key: memberKey(c.Former), Version: c.FormerVersion})
@@ -155,27 +150,27 @@
 	return term, s.commit(ctx, transport.Vital, 3*time.Second, conds, then...)
 }
 
-// SlotChange is a new value for a slot's record as it was last seen.
+// SlotChange is a new value for a slot's record, conditional on the version last seen.
 type SlotChange struct {
-	Slot int
-	Seen uint64 // its version
-	To   Slot
+	Slot        int
+	SeenVersion uint64 // version of the record
+	Record      Slot
 }
 
-// ChangeSlots rewrites records of slots that this controller holds, or has
-// held and stopped acting for; no more of them than a transaction takes.
+// ChangeSlots rewrites the records of slots that this controller holds, or that it held and no longer acts for.
+// It takes at most MaxClaims changes.
 func (s *Store) ChangeSlots(ctx context.Context, u transport.Urgency, changes []SlotChange) error {
 	var conds []protocol.Condition
 	var then []protocol.Change
 	for _, c := range changes {
-		conds = append(conds, protocol.Condition{Key: slotKey(c.Slot), Version: c.Seen})
-		then = append(then, set(slotKey(c.Slot), s.packed(c.To), 0))
+		conds = append(conds, protocol.Condition{Key: slotKey(c.Slot), Version: c.SeenVersion})
+		then = append(then, set(slotKey(c.Slot), s.packRoster(c.Record), 0))
 	}
 	return s.commit(ctx, u, 3*time.Second, conds, then...)
 }
 
-// Revision asks for the present revision.
+// Revision reads the current revision of the state service.
 func (s *Store) Revision(ctx context.Context) (uint64, error) {
-	ans, _, err := s.try(ctx, transport.Ordinary, 3*time.Second, nil, nil)
+	ans, _, err := s.transact(ctx, transport.Ordinary, 3*time.Second, nil, nil)
 	return ans.Revision, err
 }
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -108,7 +108,7 @@
 	switch {
 	case j == nil || h.over(j.Spec.ID) || index >= j.Spec.Tasks || j.TaskDone(index):
 		return "not to be run"
-	case j.Waits > 0:
+	case j.WaitingOn > 0:
 		return "waits for other jobs" // what is not known to be done is not
 	case h.window.OwnerOf(j, index) != caller:
 		return "not the owner"
--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -104,7 +104,7 @@
 // hears tells whether a sibling has a session and understands announcements.
 func (h *Holder) hears(sibling string) bool {
 	m := h.members[sibling]
-	return m != nil && m.Generation >= bookkeeping.GenerationAnnounced
+	return m != nil && m.Generation >= bookkeeping.GenerationCancelNotices
 }
 
 // audience are the siblings that announcements go to.
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -90,7 +90,7 @@
 		if !h.may("wk-1") {
 			t.Error("c2 has no session any more")
 		}
-		h.memberChanged("c2", &bookkeeping.Member{Generation: bookkeeping.GenerationLonger})
+		h.memberChanged("c2", &bookkeeping.Member{Generation: bookkeeping.GenerationLongPromises})
 		if !h.may("wk-2") {
 			t.Error("c2 is of the version before")
 		}
--- a/internal/coordination/cancelled_test.go
+++ b/internal/coordination/cancelled_test.go
@@ -219,7 +219,7 @@
 	for id, at := range w.told {
 		if !at.After(w.readTo) {
 			over := pendingJob(id)
-			over.Record, over.State = protocol.Cancelled, protocol.Cancelled
+			over.RecordedState, over.State = protocol.Cancelled, protocol.Cancelled
 			w.h.jobChanged(over)
 		}
 	}
--- a/internal/coordination/chains.go
+++ b/internal/coordination/chains.go
@@ -20,7 +20,7 @@
 func urgency(c *config.Config, j *bookkeeping.Job) bookkeeping.Urgency {
 	u := bookkeeping.Urgency{Rank: j.Spec.Priority.Rank(), Filler: c.Filler(j.Spec)}
 	if due, ok := j.Spec.Deadline(); ok {
-		u.End = j.Accepted.Add(due)
+		u.Deadline = j.Accepted.Add(due)
 	}
 	return u
 }
@@ -74,7 +74,7 @@
 		case j.Spec.Shape == protocol.Service:
 			return "", fmt.Errorf("%w: %s is a service, which is never done", errNever, id)
 		case j.State == protocol.Cancelled:
-			with = cmp.Or(j.With, id)
+			with = cmp.Or(j.CancelledWith, id)
 		case j.State != protocol.Done:
 			open = append(open, id)
 		}
@@ -93,7 +93,7 @@
 		if known[id] != nil || id == spec.ID {
 			continue
 		}
-		listed, err := k.store.ListOver(ctx, id, most)
+		listed, err := k.store.ListArchived(ctx, id, most)
 		if err == nil && listed[id] == nil {
 			listed[id], err = k.store.ReadJob(ctx, id)
 		}
@@ -124,7 +124,7 @@
 
 // foundOver takes in a job that is over and that the replica does not have.
 func (k *Controller) foundOver(j *bookkeeping.Job) {
-	j.Seat = Place(k.cfg, j.Spec)
+	j.RingPosition = Place(k.cfg, j.Spec)
 	k.holder.tell(func() {
 		if k.holder.jobs[j.Spec.ID] == nil {
 			k.holder.jobChanged(j)
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -94,10 +94,10 @@
 		k.quotas.Store(&quotaSet{tree: c.Quotas})
 	}
 	k.reader = bookkeeping.NewReader(k.store)
-	k.reader.Found = k.foundOver
-	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.Seat { return Place(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgency(c, j) }, k,
-		func(revision uint64) { k.reader.Caught(ctx, revision) })
-	k.replica.Block = c.WatchFor()
+	k.reader.OnArchived = k.foundOver
+	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.RingPosition { return Place(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgency(c, j) }, k,
+		func(revision uint64) { k.reader.CaughtUp(ctx, revision) })
+	k.replica.WatchTimeout = c.WatchFor()
 	return k
 }
 
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -143,7 +143,7 @@
 	use := map[string]protocol.Room{"free": {Cores: 4}, "bound": {Cores: 8}}
 	job := func(team string, p protocol.Priority) *bookkeeping.Job {
 		s := protocoltest.Job(func(s *protocol.JobSpec) { s.Team, s.Priority, s.Accels = team, p, 0 })
-		return &bookkeeping.Job{Spec: s, Place: bookkeeping.Place{Urgency: urgency(c, &bookkeeping.Job{Spec: s})}}
+		return &bookkeeping.Job{Spec: s, DependencyState: bookkeeping.DependencyState{Urgency: urgency(c, &bookkeeping.Job{Spec: s})}}
 	}
 	// One that an urgent job needs is as urgent, as who asks and as who may go.
 	needed := func(j *bookkeeping.Job) *bookkeeping.Job { j.Rank = 2; return j }
@@ -206,7 +206,7 @@
 	h := &Holder{actor: newActor(context.Background()), changed: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
 		jobs: map[string]*bookkeeping.Job{}, byID: map[string]*worker{}, slots: map[int]*heldSlot{}}
 	s := &protocol.JobSpec{ID: "wk-1", Shape: protocol.Array, Tasks: 3 * bookkeeping.BlockTasks}
-	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, Seat: bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s)}}
+	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, RingPosition: bookkeeping.RingPosition{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlockCount(s)}}
 	slot := &heldSlot{}
 	h.jobs[s.ID], h.slots[0], h.byID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
 	ask := func(caller string, index int) string {
@@ -217,7 +217,7 @@
 	if why := ask(own, s.Tasks-1); why == "not the owner" {
 		t.Error("undivided, the job's owner places all of it")
 	}
-	h.obey(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
+	h.obey(&bookkeeping.Window{Number: 6, Owners: controllers, BlockOwners: true})
 	if h.ownersSince != 6 {
 		t.Errorf("owners since %d", h.ownersSince)
 	}
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -170,7 +170,7 @@
 	rates, ahead := o.endsByImage(now), map[string]int{}
 	limits := o.leftOfLimits()
 	for _, js := range o.inOrder() {
-		if js.job.Waits > 0 || js.opinion == placement.AtFault {
+		if js.job.WaitingOn > 0 || js.opinion == placement.AtFault {
 			continue // nothing is kept for it that others could use now
 		}
 		s := js.job.Spec
@@ -228,7 +228,7 @@
 	}
 	left := map[string]int{}
 	for _, z := range o.cfg.Deployment.Zones {
-		left[z] = s.ZoneShare() - zones[z]
+		left[z] = s.MaxPerZone() - zones[z]
 		if s.OneZone && len(zones) > 0 && zones[z] == 0 {
 			left[z] = 0
 		}
@@ -305,8 +305,8 @@
 func (o *Owner) finish(js *jobState) time.Time {
 	j := js.job
 	by := j.Ready.Add(o.aim(j.Spec.Class, "finished", 0))
-	if !j.End.IsZero() && (by.Equal(j.Ready) || j.Needed && j.End.Before(by)) {
-		return j.End
+	if !j.Deadline.IsZero() && (by.Equal(j.Ready) || j.HasDependents && j.Deadline.Before(by)) {
+		return j.Deadline
 	}
 	return by
 }
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -238,7 +238,7 @@
 		if member == nil || member.Generation < bookkeeping.GenerationPromises {
 			supported = false
 		}
-		if member == nil || member.Generation < bookkeeping.GenerationLonger {
+		if member == nil || member.Generation < bookkeeping.GenerationLongPromises {
 			lasts = membership.BriefMoratoriumFor
 		}
 	}
--- a/internal/coordination/operators.go
+++ b/internal/coordination/operators.go
@@ -19,7 +19,7 @@
 func (k *Controller) Overview(ctx context.Context) *protocol.Overview {
 	now := time.Now()
 	v := &protocol.Overview{Controller: k.cfg.Name, Zone: k.cfg.Zone, UpS: *seconds(now.Sub(k.started)), Generation: bookkeeping.Generation,
-		Session: protocol.SessionView{Valid: k.session.Valid(), Term: k.session.Term(), LeftS: *seconds(k.session.Left()), Deaf: k.session.WorkersUnreachable()},
+		Session: protocol.SessionView{Valid: k.session.Valid(), Term: k.session.Term(), LeftS: *seconds(k.session.Left()), WorkersUnreachable: k.session.WorkersUnreachable()},
 		State:   clientView(&k.state.Counts), Cloud: clientView(&k.leader.cloud.Counts)}
 	v.State.Changes = k.store.Changes()
 	var owner, holder, leader bool
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -197,13 +197,13 @@
 	} else {
 		delete(o.ended, id)
 	}
-	if j.Waits == 0 && js.ready.IsZero() && !j.Final() {
+	if j.WaitingOn == 0 && js.ready.IsZero() && !j.Final() {
 		js.ready = now
 		o.countArrival(js)
 	}
 	if j.Final() && o.active[id] != nil {
-		if j.With != "" && js.gain != 0 {
-			slog.Info("cancelled with another", "job", id, "with", j.With)
+		if j.CancelledWith != "" && js.gain != 0 {
+			slog.Info("cancelled with another", "job", id, "with", j.CancelledWith)
 		}
 		delete(o.active, id)
 		delete(o.unclear, id)
@@ -314,7 +314,7 @@
 	var ready []*jobState
 	var outcomes []bookkeeping.Outcome
 	for _, js := range o.active {
-		if len(js.shares) == 0 || js.job.Waits > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
+		if len(js.shares) == 0 || js.job.WaitingOn > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
 			continue // there may be thousands that wait for others
 		}
 		if js.stale || now.Sub(js.reconciled) >= reconcileEvery {
@@ -326,7 +326,7 @@
 				}
 			}
 		}
-		if js.missing > 0 && js.job.Waits == 0 && !now.Before(js.blocked) && !o.isKnownUnmet(js, now) && o.onTrial(js, now) {
+		if js.missing > 0 && js.job.WaitingOn == 0 && !now.Before(js.blocked) && !o.isKnownUnmet(js, now) && o.onTrial(js, now) {
 			ready = append(ready, js)
 		}
 	}
@@ -362,7 +362,7 @@
 
 // due is what jobs of one priority are ordered by.
 func (o *Owner) due(js *jobState) time.Time {
-	if end := js.job.End; !end.IsZero() {
+	if end := js.job.Deadline; !end.IsZero() {
 		return end.Add(-js.job.Spec.Estimate())
 	}
 	return js.job.Ready.Add(time.Minute)
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -300,7 +300,7 @@
 	if o.wanted == nil || now.Sub(o.wantedAt) >= time.Second {
 		o.wanted, o.wantedAt = map[string]bool{}, now
 		for id, js := range o.active {
-			if s := js.job.Spec; js.job.Waits == 0 && !o.wanted[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
+			if s := js.job.Spec; js.job.WaitingOn == 0 && !o.wanted[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
 				o.wanted[s.Image] = true
 			}
 		}
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -253,7 +253,7 @@
 	ledger := o.sumUsage()
 	var waiting []*jobState
 	for id, js := range o.active {
-		if placed, _ := o.placed(id); o.account(js) != "" && placed < js.job.Spec.Tasks-js.job.DoneCount() && js.job.Waits == 0 {
+		if placed, _ := o.placed(id); o.account(js) != "" && placed < js.job.Spec.Tasks-js.job.DoneCount() && js.job.WaitingOn == 0 {
 			waiting = append(waiting, js)
 		}
 	}
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -221,7 +221,7 @@
 					continue
 				}
 				cost := 0.0
-				if !s.Saves() {
+				if !s.Checkpoints() {
 					cost = now.Sub(i.FirstSeen).Seconds()
 				}
 				if isGang {
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -16,12 +16,12 @@
 // stands, whole, where the team's name does, so that one controller grants all that the team
 // may use (invariant 7). What takes nothing of it needs no grant: where every team had a limit
 // of GPUs all work stood at six places, also what takes none.
-func Place(c *config.Config, s *protocol.JobSpec) bookkeeping.Seat {
+func Place(c *config.Config, s *protocol.JobSpec) bookkeeping.RingPosition {
 	t, joint := c.Team(s.Team), protocol.RingToken(s.Team)
 	if t != nil && t.Limits(s.Need()) {
-		return bookkeeping.Seat{Token: joint, Blocks: 1}
+		return bookkeeping.RingPosition{Token: joint, Blocks: 1}
 	}
-	return bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s), Joint: t != nil && t.Limited(), JointToken: joint}
+	return bookkeeping.RingPosition{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlockCount(s), TeamFallback: t != nil && t.Limited(), TeamToken: joint}
 }
 
 // tenure is a time for which blocks of a job are this controller's without a break.
@@ -125,7 +125,7 @@
 	changed := false
 	for block := range max(1, js.job.Blocks) {
 		gain := o.since(func(w *bookkeeping.Window) bool { return w.OwnerOfBlock(js.job, block) == o.cfg.Name })
-		from, to := js.job.Block(block)
+		from, to := js.job.BlockRange(block)
 		old := js.shareOf(from)
 		switch {
 		case gain == 0:
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -64,7 +64,7 @@
 	var jobs []*bookkeeping.Job
 	for _, j := range o.ended {
 		// What unfinished jobs need stays where a controller that starts reads it.
-		if o.window().OwnerOfBlock(j, 0) == o.cfg.Name && !j.Needed {
+		if o.window().OwnerOfBlock(j, 0) == o.cfg.Name && !j.HasDependents {
 			if jobs = append(jobs, j); len(jobs) == archiveMost {
 				break
 			}
@@ -108,7 +108,7 @@
 	if len(outcomes) == 0 || *busy {
 		return
 	}
-	outcomes = outcomes[:min(len(outcomes), o.store.MostOutcomes())]
+	outcomes = outcomes[:min(len(outcomes), o.store.MaxOutcomes())]
 	for _, out := range outcomes {
 		o.active[out.Job.Spec.ID].recorded = time.Now()
 	}
@@ -194,7 +194,7 @@
 // the tasks of a gang must all be told.
 func (o *Owner) rescue(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
-	if !s.Saves() {
+	if !s.Checkpoints() {
 		return
 	}
 	for index, list := range o.board.Tasks[s.ID] {
--- a/internal/coordination/scripts.go
+++ b/internal/coordination/scripts.go
@@ -45,7 +45,7 @@
 	}
 	status, answer = k.Submit(ctx, body)
 	if st, ok := answer.(*protocol.JobStatus); ok {
-		return status, protocol.ScriptTaken{ID: pbs.Name(id, j.Array != nil), Job: id, Status: st.Status, Notes: j.Notes}
+		return status, protocol.ScriptAccepted{ID: pbs.Name(id, j.Array != nil), Job: id, Status: st.Status, Notes: j.Notes}
 	}
 	return status, answer
 }
@@ -53,7 +53,7 @@
 // Script is what a task of a batch job runs, or the script as it was submitted if the
 // task is -1.
 func (k *Controller) Script(ctx context.Context, id string, task int) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
+	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshTimeout)
 	defer cancel()
 	j := k.owner.Known(ctx, id)
 	if j == nil {
@@ -110,7 +110,7 @@
 	l, ok := view(ctx, &k.owner.actor, func() *protocol.JobList {
 		var ids []string
 		for id, js := range k.owner.jobs {
-			if f.Chooses(js.job.Spec, js.job.Final()) {
+			if f.Matches(js.job.Spec, js.job.Final()) {
 				ids = append(ids, id)
 			}
 		}
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -16,7 +16,7 @@
 )
 
 // qsub submits a script as its clients do, by any controller that answers.
-func (w *world) qsub(key, options, script string) (protocol.ScriptTaken, error) {
+func (w *world) qsub(key, options, script string) (protocol.ScriptAccepted, error) {
 	var doors []string
 	for _, n := range w.names {
 		doors = append(doors, "front-"+n+":1")
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -98,7 +98,7 @@
 		if !may {
 			continue
 		}
-		if claims = append(claims, c); len(claims) == h.store.MostClaims() {
+		if claims = append(claims, c); len(claims) == h.store.MaxClaims() {
 			break // the rest in the next round
 		}
 	}
@@ -129,7 +129,7 @@
 // adopted takes in that slots were taken under a new term.
 func (h *Holder) adopted(claims []bookkeeping.Claim, term uint64) {
 	for _, c := range claims {
-		s := &heldSlot{slot: c.Slot, term: term, adopted: time.Now(), awaited: map[string]bool{}, roster: bookkeeping.Roster{}, unlisted: !c.Listed()}
+		s := &heldSlot{slot: c.Slot, term: term, adopted: time.Now(), awaited: map[string]bool{}, roster: bookkeeping.Roster{}, unlisted: !c.RosterKnown()}
 		if c.Seen != nil {
 			maps.Copy(s.roster, c.Seen.Roster)
 		}
@@ -244,8 +244,8 @@
 		rec := h.records[slot]
 		if rec.Term != s.term || rec.Holder == "" {
 			delete(h.releasing, slot) // said, or taken already
-		} else if len(changes) < h.store.MostClaims() {
-			changes = append(changes, bookkeeping.SlotChange{Slot: slot, Seen: rec.Version, To: bookkeeping.Slot{Term: rec.Term, Roster: rec.Roster, Listed: rec.Listed}})
+		} else if len(changes) < h.store.MaxClaims() {
+			changes = append(changes, bookkeeping.SlotChange{Slot: slot, SeenVersion: rec.Version, Record: bookkeeping.Slot{Term: rec.Term, Roster: rec.Roster, RosterKnown: rec.RosterKnown}})
 		}
 	}
 	h.changeSlots(transport.Vital, changes, nil)
@@ -301,7 +301,7 @@
 	h.registerFound()
 	rosters := map[*heldSlot]bookkeeping.Roster{}
 	roster := func(s *heldSlot) bookkeeping.Roster {
-		if rosters[s] == nil && len(rosters) < h.store.MostClaims() {
+		if rosters[s] == nil && len(rosters) < h.store.MaxClaims() {
 			rosters[s] = maps.Clone(s.roster)
 		}
 		return rosters[s]
@@ -327,8 +327,8 @@
 			continue
 		}
 		maps.DeleteFunc(r, func(n uint64, _ bool) bool { return !registered[n] })
-		changes = append(changes, bookkeeping.SlotChange{Slot: s.slot, Seen: rec.Version,
-			To: bookkeeping.Slot{Holder: rec.Holder, Incarnation: rec.Incarnation, Term: rec.Term, Roster: r, Listed: !s.unlisted}})
+		changes = append(changes, bookkeeping.SlotChange{Slot: s.slot, SeenVersion: rec.Version,
+			Record: bookkeeping.Slot{Holder: rec.Holder, Incarnation: rec.Incarnation, Term: rec.Term, Roster: r, RosterKnown: !s.unlisted}})
 	}
 	h.changeSlots(transport.Ordinary, changes, func() {
 		for s, r := range rosters {
--- a/internal/coordination/trace_records_test.go
+++ b/internal/coordination/trace_records_test.go
@@ -15,7 +15,7 @@
 	return w.em.State.Edit(bookkeeping.Root+"s/", func(key string, value json.RawMessage, lease uint64) ([]protocol.Change, error) {
 		var rec bookkeeping.Slot
 		err := json.Unmarshal(value, &rec)
-		rec.Roster, rec.Listed = nil, false
+		rec.Roster, rec.RosterKnown = nil, false
 		return []protocol.Change{{Set: key, Value: rec, Lease: lease}}, err
 	})
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -43,7 +43,7 @@
 	if known != nil && known.Final() {
 		return k.confirm(ctx, &standing{job: known})
 	}
-	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
+	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshTimeout)
 	defer cancel()
 	if known == nil {
 		found, err := k.reader.Find(ctx, id)
@@ -55,11 +55,11 @@
 		}
 		return k.confirm(ctx, &standing{job: found})
 	}
-	if err := k.reader.Fresh(ctx); err != nil {
+	if err := k.reader.WaitFresh(ctx); err != nil {
 		return nil, err
 	}
 	st := k.owner.Status(ctx, id)
-	if st == nil || st.job.Unclear {
+	if st == nil || st.job.NeedsUnknown {
 		// It ended and is no longer kept at hand; or one that it needs did so,
 		// and whether it was cancelled is being looked up.
 		return nil, ErrLater
@@ -171,7 +171,7 @@
 		return err
 	}
 	for _, t := range k.catalog.Load().Types {
-		if !t.Takes(s) {
+		if !t.CanRun(s) {
 			continue
 		}
 		for _, z := range t.Zones {
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -79,7 +79,7 @@
 		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, token: protocol.NewToken(7, w.seq)}
 		under := protocol.NewToken(7, w.seq)
 		over := *h.jobs["wk-1"]
-		over.Record, over.State = protocol.Cancelled, protocol.Cancelled
+		over.RecordedState, over.State = protocol.Cancelled, protocol.Cancelled
 		h.jobChanged(&over)
 		h.observeReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumFor)
 		status, body := h.Report(running(6, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
--- a/internal/coordination/why.go
+++ b/internal/coordination/why.go
@@ -35,7 +35,7 @@
 		k := fleet.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		b.up[k]++
 		if t, ok := o.types[m.Type]; ok {
-			b.used[k] += min(1, t.Room().Sub(m.Free).Share(t.Room()))
+			b.used[k] += min(1, t.Room().Sub(m.Free).DominantShare(t.Room()))
 		}
 	}
 	for id, m := range o.machReg {
@@ -58,7 +58,7 @@
 // and when the next should start, negative if that can't be told.
 func (o *Owner) why(js *jobState, now time.Time) (reason string, in time.Duration) {
 	s := js.job.Spec
-	w := placement.JobWait{Final: js.job.Final(), Held: js.job.Held, TimeToBegin: js.job.From().Sub(now), DependenciesPending: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
+	w := placement.JobWait{Final: js.job.Final(), Held: js.job.Held, TimeToBegin: js.job.EarliestStart().Sub(now), DependenciesPending: js.job.WaitingOn > 0, AtFault: js.opinion == placement.AtFault,
 		Missing: s.Tasks - js.job.DoneCount(), SlotsIncomplete: !o.board.AllComplete(o.slots, 0), StartRequested: len(js.pending) > 0,
 		BindingQuota:   o.limitingAccount(js, now),
 		AtTeamLimit:    func() bool { return js.gain != 0 && !o.teamRoom(js, 1) },
@@ -76,7 +76,7 @@
 	there := o.fleetNow(now)
 	for k, n := range there.come {
 		t := o.types[k.Type]
-		if n == 0 || !s.Allows(k.Type, k.Zone, k.Spot) || !t.Takes(s) {
+		if n == 0 || !s.Allows(k.Type, k.Zone, k.Spot) || !t.CanRun(s) {
 			continue
 		}
 		coming = true
@@ -116,7 +116,7 @@
 		v.Status = protocol.Running
 	}
 	j := js.job
-	v.Needs, v.NeededBy, v.CancelledWith = j.For, j.Behind, j.With
+	v.Needs, v.NeededBy, v.CancelledWith = j.WaitsFor, j.NeededBy, j.CancelledWith
 	if j.Rank != s.Priority.Rank() {
 		v.RaisedTo = string(protocol.PriorityOf(j.Rank))
 	}
@@ -127,8 +127,8 @@
 	if due, ok := s.Deadline(); ok {
 		v.DueInS = left(j.Accepted.Add(due))
 	}
-	if !j.End.IsZero() && !j.Final() {
-		v.MustEndInS = left(j.End)
+	if !j.Deadline.IsZero() && !j.Final() {
+		v.MustEndInS = left(j.Deadline)
 	}
 	if !js.job.Final() {
 		var in time.Duration
@@ -199,20 +199,20 @@
 
 // jobCounts counts the jobs that are not over, and shows those that have waited for longest.
 func (o *Owner) jobCounts(now time.Time) (counts protocol.JobCount, longest []protocol.JobView) {
-	counts = protocol.JobCount{Active: len(o.active), Waiting: map[string]int{}, AsksPending: len(o.unclear), Unmoved: len(o.ended), Moves: o.moves}
+	counts = protocol.JobCount{Active: len(o.active), Waiting: map[string]int{}, RequestsPending: len(o.unclear), Unarchived: len(o.ended), Moves: o.moves}
 	for _, n := range o.held {
-		counts.Patient += n
+		counts.WaitingForImage += n
 	}
 	var waiting []*jobState
 	for _, js := range o.active {
 		if js.gain != 0 {
 			counts.Owned++
 		}
-		if js.job.Needed || len(js.job.Spec.Needs) > 0 {
-			counts.Chained++
+		if js.job.HasDependents || len(js.job.Spec.Needs) > 0 {
+			counts.WithDependencies++
 		}
-		if js.job.Unclear {
-			counts.Unclear++
+		if js.job.NeedsUnknown {
+			counts.NeedsUnknown++
 		}
 		if reason, _ := o.why(js, now); reason != "" {
 			counts.Waiting[reason]++
@@ -257,7 +257,7 @@
 	oldest, total := "", 0
 	var since time.Duration
 	for id, js := range o.active {
-		if js.gain == 0 || js.job.Waits > 0 || now.Sub(js.ready) < standstillAfter || len(o.board.Tasks[id]) > 0 || js.job.DoneCount() > 0 {
+		if js.gain == 0 || js.job.WaitingOn > 0 || now.Sub(js.ready) < standstillAfter || len(o.board.Tasks[id]) > 0 || js.job.DoneCount() > 0 {
 			continue
 		}
 		reason, _ := o.why(js, now)
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -160,7 +160,7 @@
 
 // halt has a task end, saving first if there is time for it.
 func (t *task) halt(grace *float64) {
-	saves := t.work != nil && t.work.spec.Saves() && grace != nil && *grace >= t.work.spec.SaveS
+	saves := t.work != nil && t.work.spec.Checkpoints() && grace != nil && *grace >= t.work.spec.SaveS
 	switch {
 	case t.State == protocol.TaskExited:
 	case t.gang != nil && t.State != protocol.TaskWaiting:
@@ -191,7 +191,7 @@
 	}
 	t.timer.stop()
 	fetched := t.State == protocol.TaskPulling
-	if k := t.work; t.gang == nil && t.State == protocol.TaskRunning && cause != protocol.CauseDone && k.spec.Saves() {
+	if k := t.work; t.gang == nil && t.State == protocol.TaskRunning && cause != protocol.CauseDone && k.spec.Checkpoints() {
 		p := k.progress(t.index)
 		p.saved = max(p.saved, k.checkpoint(t.made()))
 	}
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -115,7 +115,7 @@
 func FastestReady(types map[string]protocol.MachineType, s *protocol.JobSpec, gb float64) (ready, fetch time.Duration) {
 	ready = math.MaxInt64
 	for _, t := range types {
-		if t.Takes(s) {
+		if t.CanRun(s) {
 			f := t.FetchTime(gb)
 			if r := protocol.Seconds(1.3*t.BootS) + f; r < ready {
 				ready, fetch = r, f
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -86,7 +86,7 @@
 	if zone, bound := d.ZoneLeft[b.Zone]; bound {
 		left = min(left, zone)
 	}
-	n := b.room(d).Times(d.Spec.Need(), left)
+	n := b.room(d).CountFits(d.Spec.Need(), left)
 	if n == 0 {
 		return 0
 	}
@@ -125,7 +125,7 @@
 			continue
 		}
 		t := in.Types[b.Type]
-		score := room.Sub(need).Share(t.Room())
+		score := room.Sub(need).DominantShare(t.Room())
 		if in.Scarce[b.Type] {
 			score++
 		}
@@ -163,7 +163,7 @@
 				if !d.allows(b) || in.Refused(Kind{t.Name, zone, spot}) {
 					continue
 				}
-				fit := t.Room().Times(d.Spec.Need(), left)
+				fit := t.Room().CountFits(d.Spec.Need(), left)
 				if fit == 0 {
 					continue
 				}
@@ -173,7 +173,7 @@
 				}
 				// The share that a task takes of the machine counts, not the whole machine, as long as other
 				// work can use the rest.
-				price *= max(d.Spec.Need().Share(t.Room()), 0.6/float64(fit))
+				price *= max(d.Spec.Need().DominantShare(t.Room()), 0.6/float64(fit))
 				if in.Scarce[t.Name] && fit < left {
 					price *= 1.1
 				}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -190,7 +190,7 @@
 	others := 0
 	for _, m := range in.Machines {
 		t := in.Types[m.Type]
-		m.fillerOnly = !m.Booting && !m.Pinned && m.FillerRoom != (protocol.Room{}) && t.Room().Sub(m.Free).Sub(m.FillerRoom).Share(t.Room()) < 1e-6
+		m.fillerOnly = !m.Booting && !m.Pinned && m.FillerRoom != (protocol.Room{}) && t.Room().Sub(m.Free).Sub(m.FillerRoom).DominantShare(t.Room()) < 1e-6
 		if !m.fillerOnly {
 			others++
 		}
@@ -224,7 +224,7 @@
 	freeRoom, count := map[string]float64{}, map[string]int{} // by type, in machines
 	for _, m := range in.Machines {
 		if t := in.Types[m.Type]; !m.Booting && !m.Draining {
-			freeRoom[m.Type] += 1 - min(1, t.Room().Sub(m.Free).Sub(m.FillerRoom).Share(t.Room()))
+			freeRoom[m.Type] += 1 - min(1, t.Room().Sub(m.Free).Sub(m.FillerRoom).DominantShare(t.Room()))
 			count[m.Type]++
 		}
 	}
@@ -244,7 +244,7 @@
 	fit := map[string]int{}
 	for _, b := range bins {
 		if !b.Draining && d.allows(b) {
-			fit[b.Zone] += b.room(d).Times(d.Spec.Need(), d.Count)
+			fit[b.Zone] += b.room(d).CountFits(d.Spec.Need(), d.Count)
 		}
 	}
 	best, most := "", -1
@@ -267,7 +267,7 @@
 // AnyRentable reports whether the cloud may have a machine of an acceptable kind that the job may run on.
 func AnyRentable(types map[string]protocol.MachineType, s *protocol.JobSpec, acceptable func(Kind) bool) bool {
 	for _, t := range types {
-		if !t.Takes(s) {
+		if !t.CanRun(s) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/history/rules.go
+++ b/internal/history/rules.go
@@ -289,7 +289,7 @@
 	if !j.spec.Allows(e.Type, e.Zone, e.Spot) {
 		c.breaks(WrongPlace, "%s on a %s in %s, spot %v", e.Task, e.Type, e.Zone, e.Spot)
 	}
-	if j.spec.OneZone && len(j.zones) > 1 || j.zones[e.Zone] > j.spec.ZoneShare() {
+	if j.spec.OneZone && len(j.zones) > 1 || j.zones[e.Zone] > j.spec.MaxPerZone() {
 		c.breaks(WrongPlace, "%s: tasks by zone are %v", e.Task, j.zones)
 	}
 	c.charge(j.spec, 1)
--- a/internal/history/served.go
+++ b/internal/history/served.go
@@ -225,7 +225,7 @@
 	out := map[string]bool{}
 	for class, ids := range byClass {
 		size := func(id string) float64 {
-			return float64(s.jobs[id].spec.Tasks) * s.jobs[id].spec.Need().Share(most[class])
+			return float64(s.jobs[id].spec.Tasks) * s.jobs[id].spec.Need().DominantShare(most[class])
 		}
 		slices.SortFunc(ids, func(a, b string) int { return cmp.Or(cmp.Compare(size(b), size(a)), strings.Compare(a, b)) })
 		for _, id := range ids[:(len(ids)+9)/10] {
--- a/internal/pbs/batch.go
+++ b/internal/pbs/batch.go
@@ -13,7 +13,7 @@
 // Native is the job as it is submitted, with its script.
 func (j *Job) Native(script string) protocol.JobSpec {
 	s := j.Spec
-	s.Batch = &protocol.Batch{Name: j.Name, Queue: j.Queue, Shell: j.Shell, Hold: j.Hold, Variables: j.Variables, Script: protocol.Pack(script)}
+	s.Batch = &protocol.Batch{Name: j.Name, Queue: j.Queue, Shell: j.Shell, Hold: j.Hold, Variables: j.Variables, Script: protocol.CompressScript(script)}
 	if !j.From.IsZero() {
 		s.Batch.FromMs = j.From.UnixMilli()
 	}
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -60,7 +60,7 @@
 	if p.Zone != "" && zone != p.Zone || p.Spec.OneZone && len(p.TasksByZone) > 0 && p.TasksByZone[zone] == 0 {
 		return false
 	}
-	return !p.Spec.Scatter || p.TasksByZone[zone] < p.Spec.ZoneShare()
+	return !p.Spec.Scatter || p.TasksByZone[zone] < p.Spec.MaxPerZone()
 }
 
 func (p *Placer) avoids(machine string) bool {
@@ -121,7 +121,7 @@
 	whole := t.Room()
 	c := p.FetchTime(m).Seconds()
 	left := m.Free.Sub(m.RequestedRoom).Sub(p.Spec.Need())
-	c += 8 * left.Share(whole)
+	c += 8 * left.DominantShare(whole)
 	if p.Scarce[t.Name] && HasNonScarceType(p.Spec, p.Types, p.Scarce) {
 		c += 15 // keep scarce machines free for work that fits nowhere else
 	}
@@ -140,7 +140,7 @@
 // HasNonScarceType reports whether a job can run on a type that is not scarce.
 func HasNonScarceType(s *protocol.JobSpec, types map[string]protocol.MachineType, scarce map[string]bool) bool {
 	for _, t := range types {
-		if !scarce[t.Name] && t.Takes(s) {
+		if !scarce[t.Name] && t.CanRun(s) {
 			return true
 		}
 	}
--- a/internal/placement/machine_reservation.go
+++ b/internal/placement/machine_reservation.go
@@ -32,7 +32,7 @@
 		}
 		if freeAfter.Fits(need) {
 			shortfall := protocol.Room{Cores: max(0, need.Cores-free.Cores), Accels: max(0, need.Accels-free.Accels), RAM: max(0, need.RAM-free.RAM)}
-			candidates = append(candidates, candidate{m, shortfall.Share(t.Room())})
+			candidates = append(candidates, candidate{m, shortfall.DominantShare(t.Room())})
 		}
 	}
 	if len(candidates) < tasks {
@@ -43,7 +43,7 @@
 	})
 	out := make([]*board.Machine, 0, tasks)
 	for _, c := range candidates {
-		if p.Spec.Scatter && p.TasksByZone[c.m.Zone] >= p.Spec.ZoneShare() {
+		if p.Spec.Scatter && p.TasksByZone[c.m.Zone] >= p.Spec.MaxPerZone() {
 			continue
 		}
 		p.TasksByZone[c.m.Zone]++
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -43,7 +43,7 @@
 	if victim.Filler {
 		cost = 2
 	}
-	if !spec.Saves() {
+	if !spec.Checkpoints() {
 		cost += min(60, now.Sub(i.FirstSeen).Seconds())
 	}
 	if now.Sub(i.FirstSeen) < 30*time.Second {
@@ -59,7 +59,7 @@
 		only := ""
 		n := 0
 		for _, t := range types {
-			if t.Takes(s) {
+			if t.CanRun(s) {
 				only = t.Name
 				n++
 			}
@@ -84,14 +84,14 @@
 		return nil
 	}
 	lowest := math.Inf(1)
-	costs := func(t *protocol.MachineType) float64 { return t.Price * s.Need().Share(t.Room()) }
+	costs := func(t *protocol.MachineType) float64 { return t.Price * s.Need().DominantShare(t.Room()) }
 	for _, t := range types {
-		if t.Takes(s) {
+		if t.CanRun(s) {
 			lowest = min(lowest, costs(&t))
 		}
 	}
 	for _, t := range types {
-		if t.Takes(s) && costs(&t) > expensiveFactor*lowest {
+		if t.CanRun(s) && costs(&t) > expensiveFactor*lowest {
 			if expensive == nil {
 				expensive = map[string]bool{}
 			}
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -1,7 +1,6 @@
-// Package protocol holds what travels between daledyke and the world around
-// it: the wire types, their validation and the few names that are built from
-// them. Go names are those of the field (Job, Task, Gang, Attempt, Machine,
-// Team, Token); the JSON tags are the wire's own words. Nothing here does I/O.
+// Package protocol defines the messages between daledyke and its environment: the wire types, their validation and
+// the names that are built from them. Go names are the usual terms of schedulers (Job, Task, Gang, Attempt, Machine,
+// Team, Token); the JSON tags are the names on the wire. The package does no I/O.
 package protocol
 
 import (
@@ -20,7 +19,7 @@
 	"github.com/twmb/murmur3"
 )
 
-// Shape says how the tasks of a job relate to one another.
+// Shape is the relation between the tasks of a job.
 type Shape string
 
 const (
@@ -29,15 +28,15 @@
 	Service Shape = "standing"
 )
 
-// Priority orders work; a higher one may preempt a lower one.
+// Priority orders work; higher priorities may preempt lower ones.
 type Priority string
 
 var priorityRank = map[Priority]int{"idle": 0, "normal": 1, "high": 2, "critical": 3}
 
-// Rank is the place of a priority among the others, 0 the lowest.
+// Rank is the position of a priority in the order of priorities; 0 is the lowest.
 func (p Priority) Rank() int { return priorityRank[p] }
 
-// PriorityOf is the priority of a rank, "" if there is none.
+// PriorityOf returns the priority with the given rank, "" if there is none.
 func PriorityOf(rank int) Priority {
 	for p, r := range priorityRank {
 		if r == rank {
@@ -47,13 +46,13 @@
 	return ""
 }
 
-// MaxTasks bounds the tasks of one job.
+// MaxTasks limits the tasks of one job.
 const MaxTasks = 100_000
 
-// MaxBody bounds a request body.
+// MaxBody limits the size of a request body, in bytes.
 const MaxBody = 64 << 10
 
-// JobSpec is a job as its user describes it.
+// JobSpec is a job as submitted by its user.
 type JobSpec struct {
 	ID          string   `json:"id"`
 	Class       string   `json:"laneClass"`
@@ -75,51 +74,48 @@
 	CheckpointS float64  `json:"snapshotS"`
 	SaveS       float64  `json:"flushS"`
 	DeadlineS   *float64 `json:"dueS"`
-	// Needs are the jobs that have to be done before any task starts.
+	// Needs are the jobs that must be done before any task starts.
 	Needs []string `json:"awaits,omitempty"`
-	// Account is the account of its team's quotas that the job counts for; "" is
-	// the team's own.
+	// Account is the account within its team's quotas that the job is charged to; "" is the team's own.
 	Account string `json:"account,omitempty"`
-	// Batch is the batch script that its tasks run, nil if they run what their image
-	// says.
+	// Batch is the batch script that the tasks run, nil if they run the default command of their image.
 	Batch *Batch `json:"batch,omitempty"`
 }
 
-// Batch is a batch script and what goes with it.
+// Batch is a batch script and its options.
 type Batch struct {
 	Name  string `json:"name"`
 	Queue string `json:"queue"`
 	Shell string `json:"shell,omitempty"`
-	// First and Step give an array's task with the number n the index First+n*Step;
-	// Step is 0 if it is no array.
+	// First and Step define the index of array task n: First+n*Step. Step is 0 if the job is not an array.
 	First int `json:"first,omitempty"`
 	Step  int `json:"step,omitempty"`
 	// Hold: no task starts before the job is released.
 	Hold bool `json:"hold,omitempty"`
-	// FromMs is the time of day before which no task starts, 0 for any.
+	// FromMs is the Unix time in milliseconds before which no task starts, 0 if there is none.
 	FromMs int64 `json:"fromMs,omitempty"`
-	// Variables are set for the script, as NAME=VALUE.
+	// Variables are the environment variables of the script, as NAME=VALUE.
 	Variables []string `json:"variables,omitempty"`
-	// Script is compressed (DEFLATE).
+	// Script is the script, compressed with DEFLATE.
 	Script []byte `json:"script"`
 }
 
-// Index is the index of an array's task with a number from 0.
+// Index returns the array index of a task, whose number counts from 0.
 func (b *Batch) Index(task int) int { return b.First + task*b.Step }
 
-// MaxScript bounds a batch script, in bytes.
+// MaxScript limits the size of an uncompressed batch script, in bytes.
 const MaxScript = 48 << 10
 
-// Pack compresses a script.
-func Pack(script string) []byte {
+// CompressScript compresses a batch script.
+func CompressScript(script string) []byte {
 	var b bytes.Buffer
-	w, _ := flate.NewWriter(&b, flate.BestCompression) // the level is sound
-	w.Write([]byte(script))                            // a buffer takes all
+	w, _ := flate.NewWriter(&b, flate.BestCompression) // fails only for an invalid level
+	w.Write([]byte(script))                            // writing to a buffer can't fail
 	w.Close()
 	return b.Bytes()
 }
 
-// Text is the script as it was submitted.
+// Text decompresses the script.
 func (b *Batch) Text() (string, error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b.Script)), MaxScript+1))
 	if err != nil || len(raw) > MaxScript {
@@ -128,17 +124,16 @@
 	return string(raw), nil
 }
 
-// Need is what one task of the job takes of its machine.
+// Need is what one task of the job requires of its machine.
 func (s *JobSpec) Need() Room { return Room{s.Cores, s.Accels, s.RAM} }
 
-// Saves tells whether a stopped task of the job can keep its progress.
-func (s *JobSpec) Saves() bool { return s.CheckpointS > 0 }
+// Checkpoints reports whether a stopped task of the job can keep its progress.
+func (s *JobSpec) Checkpoints() bool { return s.CheckpointS > 0 }
 
-// Estimate is the owner's guess of a task's run time.
+// Estimate is the user's estimate of a task's run time.
 func (s *JobSpec) Estimate() time.Duration { return Seconds(s.EstimateS) }
 
-// Deadline is when the job should be complete, counted from its submission;
-// false if it has none.
+// Deadline is the time after submission by which the job should be complete; ok is false if it has none.
 func (s *JobSpec) Deadline() (time.Duration, bool) {
 	if s.DeadlineS == nil {
 		return 0, false
@@ -146,7 +141,7 @@
 	return Seconds(*s.DeadlineS), true
 }
 
-// AllowsType tells whether tasks may run on machines of the named type.
+// AllowsType reports whether tasks may run on machines of the named type.
 func (s *JobSpec) AllowsType(name string) bool {
 	if s.Types == nil {
 		return true
@@ -159,27 +154,27 @@
 	return false
 }
 
-// Allows tells whether a task may be on a machine of this type, zone and kind.
-func (s *JobSpec) Allows(rig, zone string, spot bool) bool {
-	return s.AllowsType(rig) && (s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
+// Allows reports whether a task may run on a machine of this type and zone, and on spot machines if spot is set.
+func (s *JobSpec) Allows(machineType, zone string, spot bool) bool {
+	return s.AllowsType(machineType) && (s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
 
-// ZoneShare is the greatest number of the job's tasks that one zone may hold.
-func (s *JobSpec) ZoneShare() int {
+// MaxPerZone is the maximum number of the job's tasks in one zone.
+func (s *JobSpec) MaxPerZone() int {
 	if s.Scatter {
 		return (s.Tasks + 1) / 2
 	}
 	return s.Tasks
 }
 
-// ValidJobID tells whether an id has the form that all job ids have: wk- and
-// up to 18 digits. It is asked for every task of every report.
+// ValidJobID reports whether an id has the form of a job id: wk- and 1 to 18 digits. It is called for every task of
+// every report.
 func ValidJobID(id string) bool {
 	number, ok := strings.CutPrefix(id, "wk-")
 	return ok && len(number) >= 1 && len(number) <= 18 && strings.Trim(number, "0123456789") == ""
 }
 
-// PeekID reads the id out of a submission that may otherwise be senseless.
+// PeekID reads the job id of a submission that may otherwise be malformed.
 func PeekID(body []byte) string {
 	var p struct {
 		ID string `json:"id"`
@@ -190,20 +185,20 @@
 	return p.ID
 }
 
-// jobFields must be there; rigs, plaza, dueS and awaits may be null, and so absent.
-var jobFields = []string{"id", "laneClass", "crew", "shape", "urgency", "passes", "cores", "accelerators", "ramGb",
+// requiredFields must be present. rigs, plaza, dueS and awaits may be null, and so absent.
+var requiredFields = []string{"id", "laneClass", "crew", "shape", "urgency", "passes", "cores", "accelerators", "ramGb",
 	"build", "pullGb", "oneZone", "scatter", "standby", "expectedS", "snapshotS", "flushS"}
 
-// RequiredFields are the fields that a submission must have.
-func RequiredFields() []string { return slices.Clone(jobFields) }
+// RequiredFields returns the fields that a submission must have.
+func RequiredFields() []string { return slices.Clone(requiredFields) }
 
-// ParseJob reads a submission; the error says what makes it malformed.
+// ParseJob parses a submission; the error says why it is malformed.
 func ParseJob(body []byte) (*JobSpec, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, errors.New("the body is not a JSON object")
 	}
-	for _, f := range jobFields {
+	for _, f := range requiredFields {
 		raw, ok := fields[f]
 		if !ok || bytes.Equal(raw, []byte("null")) {
 			return nil, fmt.Errorf("field %s is missing", f)
@@ -214,11 +209,11 @@
 		return nil, fmt.Errorf("a field is invalid: %w", err)
 	}
 	slices.Sort(s.Needs)
-	s.Needs = slices.Compact(s.Needs) // the same job twice counts once
+	s.Needs = slices.Compact(s.Needs) // duplicate needs count once
 	return &s, s.Validate()
 }
 
-// Validate says what is senseless about a job, if anything.
+// Validate returns an error if the job is invalid.
 func (s *JobSpec) Validate() error {
 	if !ValidJobID(s.ID) {
 		return errors.New("field id is invalid")
@@ -260,10 +255,10 @@
 	return nil
 }
 
-// TaskName is the wire's name of a task.
+// TaskName is the name of a task on the wire.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask takes a task's name apart; ok is false for a malformed one.
+// SplitTask splits a task's name into job id and task index; ok is false if the name is malformed.
 func SplitTask(name string) (job string, index int, ok bool) {
 	job, num, found := strings.Cut(name, "/")
 	if !found || !ValidJobID(job) {
@@ -273,14 +268,14 @@
 	return job, index, err == nil && index >= 0 && index < MaxTasks
 }
 
-// RingToken is a name's place on the Murmur3 ring: the first 64 bits of the
-// 128-bit hash, taken as a signed number as the ring's source has it.
+// RingToken is a name's position on the Murmur3 ring: the first 64 bits of the 128-bit hash as a signed number, as
+// the original implementation of the ring defines it.
 func RingToken(name string) int64 {
 	h, _ := murmur3.StringSum128(name)
 	return int64(h)
 }
 
-// RingShare tells which of n equal shares of the ring a token lies in.
+// RingShare returns which of n equal shares of the ring contains the token.
 func RingShare(token int64, n int) int {
 	if n <= 1 {
 		return 0
@@ -290,14 +285,13 @@
 	return int(place / width)
 }
 
-// JobStatus is what a user is told of a job.
+// JobStatus is the status of a job as reported to users.
 type JobStatus struct {
 	ID      string `json:"id"`
 	Status  string `json:"status"`
 	Done    *int   `json:"done,omitempty"`
 	Running *int   `json:"running,omitempty"`
-	// Reason tells why no task runs, StartsInS when one should; both only if
-	// they can be told.
+	// Reason is why no task runs, StartsInS the expected time until one starts; each is omitted if unknown.
 	Reason    string   `json:"reason,omitempty"`
 	StartsInS *float64 `json:"startsInS,omitempty"`
 }
@@ -310,5 +304,5 @@
 	Cancelled = "cancelled"
 )
 
-// Seconds turns the wire's seconds into a duration.
+// Seconds converts seconds on the wire to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/protocol/machine.go
+++ b/internal/protocol/machine.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Room is an amount of what machines have and tasks take.
+// Room is an amount of resources: what a machine has or a task needs.
 type Room struct {
 	Cores, Accels, RAM float64
 }
 
-// roomSlack forgives the rounding of sums of decimal amounts.
-const roomSlack = 1e-6
+// roundingSlack tolerates rounding errors in sums of decimal amounts.
+const roundingSlack = 1e-6
 
-// Add gives the sum of two amounts.
+// Add returns the sum of two amounts.
 func (r Room) Add(o Room) Room { return Room{r.Cores + o.Cores, r.Accels + o.Accels, r.RAM + o.RAM} }
 
-// Sub gives what is left of r without o.
+// Sub returns r minus o.
 func (r Room) Sub(o Room) Room { return Room{r.Cores - o.Cores, r.Accels - o.Accels, r.RAM - o.RAM} }
 
-// Scale gives n times the amount.
+// Scale returns n times the amount.
 func (r Room) Scale(n float64) Room { return Room{r.Cores * n, r.Accels * n, r.RAM * n} }
 
-// Fits tells whether need goes into r.
+// Fits reports whether need fits in r.
 func (r Room) Fits(need Room) bool {
-	return need.Cores <= r.Cores+roomSlack && need.Accels <= r.Accels+roomSlack && need.RAM <= r.RAM+roomSlack
+	return need.Cores <= r.Cores+roundingSlack && need.Accels <= r.Accels+roundingSlack && need.RAM <= r.RAM+roundingSlack
 }
 
-// Times tells how often need goes into r, up to a bound.
-func (r Room) Times(need Room, most int) int {
-	n := float64(most)
+// CountFits returns how many times need fits in r, at most limit.
+func (r Room) CountFits(need Room, limit int) int {
+	n := float64(limit)
 	for _, p := range [3][2]float64{{r.Cores, need.Cores}, {r.Accels, need.Accels}, {r.RAM, need.RAM}} {
 		if p[1] > 0 {
-			n = min(n, math.Floor((p[0]+roomSlack)/p[1]))
-		} else if p[0] < -roomSlack {
+			n = min(n, math.Floor((p[0]+roundingSlack)/p[1]))
+		} else if p[0] < -roundingSlack {
 			return 0
 		}
 	}
 	return int(max(0, n))
 }
 
-// Share is the largest part of whole that r is, over all kinds of room.
-func (r Room) Share(whole Room) float64 {
+// DominantShare is the largest fraction of whole that r takes of any one resource.
+func (r Room) DominantShare(whole Room) float64 {
 	s := 0.0
 	for _, p := range [3][2]float64{{r.Cores, whole.Cores}, {r.Accels, whole.Accels}, {r.RAM, whole.RAM}} {
 		if p[1] > 0 {
@@ -52,7 +52,7 @@
 	return s
 }
 
-// MachineType is one entry of the cloud's catalogue.
+// MachineType is one machine type in the cloud's catalogue.
 type MachineType struct {
 	Name      string   `json:"sku"`
 	Cores     float64  `json:"cores"`
@@ -66,10 +66,10 @@
 	Zones     []string `json:"plazas"`
 }
 
-// Room is what an empty machine of the type offers.
+// Room is the capacity of an empty machine of the type.
 func (t *MachineType) Room() Room { return Room{t.Cores, t.Accels, t.RAM} }
 
-// FetchTime is how long a machine of the type takes to fetch so much alone.
+// FetchTime is how long a machine of the type takes to fetch that much data, with no other fetch at the same time.
 func (t *MachineType) FetchTime(gb float64) time.Duration {
 	if t.FetchRate <= 0 {
 		return 0
@@ -77,16 +77,15 @@
 	return Seconds(gb / t.FetchRate)
 }
 
-// Takes tells whether a task of the job may run on the type and fits an empty
-// machine of it.
-func (t *MachineType) Takes(s *JobSpec) bool { return s.AllowsType(t.Name) && t.Room().Fits(s.Need()) }
+// CanRun reports whether a task of the job may run on the type and fits on an empty machine of it.
+func (t *MachineType) CanRun(s *JobSpec) bool { return s.AllowsType(t.Name) && t.Room().Fits(s.Need()) }
 
 // Catalog is the cloud's list of machine types.
 type Catalog struct {
 	Types []MachineType `json:"rigs"`
 }
 
-// Machine is one entry of the cloud's machine list.
+// Machine is one machine in the cloud's list of machines.
 type Machine struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"address"`
@@ -97,13 +96,13 @@
 	AgeS   float64 `json:"ageS"`
 }
 
-// MachineList is a page of the machine list.
+// MachineList is a page of the list of machines.
 type MachineList struct {
 	Machines []Machine `json:"bollards"`
 	More     bool      `json:"hasNext"`
 }
 
-// RentRequest asks the cloud for machines. Its booking is never used again.
+// RentRequest asks the cloud for machines. Each request has a new Booking, which is never reused.
 type RentRequest struct {
 	Booking string `json:"booking"`
 	Type    string `json:"rig"`
@@ -112,20 +111,19 @@
 	Count   int    `json:"howMany"`
 }
 
-// MachineNames is the answer to a rental and the body of a return.
+// MachineNames is the answer to a rental, and the body of a request that returns machines.
 type MachineNames struct {
 	Machines []string `json:"bollards"`
 }
 
-// The most that one rental and one return may name.
+// The maximum numbers of machines in one rental and in one return.
 const (
 	MaxRent   = 50
 	MaxReturn = 100
 )
 
-// MachineNumber is the number at the end of a machine's name: names rise in
-// the order of creation, which is what deals them round robin. A name without
-// a number is dealt by its hash.
+// MachineNumber is the number at the end of a machine's name. Numbers rise in the order of creation, so machines
+// are assigned to slots round robin. A name without a number is assigned by its hash.
 func MachineNumber(id string) uint64 {
 	i := len(id)
 	for i > 0 && id[i-1] >= '0' && id[i-1] <= '9' {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -8,42 +8,42 @@
 	"testing"
 )
 
-const sound = `{"id":"wk-000412","laneClass":"train","crew":"vision","shape":"ensemble","urgency":"high","passes":16,
+const validSubmission = `{"id":"wk-000412","laneClass":"train","crew":"vision","shape":"ensemble","urgency":"high","passes":16,
  "cores":8.0,"accelerators":1.0,"ramGb":64.0,"build":"img-07","pullGb":6.2,"rigs":["g8"],"plaza":null,"oneZone":true,
  "scatter":false,"standby":true,"expectedS":240.0,"snapshotS":30.0,"flushS":4.0,"dueS":900.0}`
 
-func TestSubmissionsAreJudged(t *testing.T) {
-	if s, err := ParseJob([]byte(sound)); err != nil || s.Tasks != 16 || s.Shape != Gang || !s.Spot {
-		t.Fatalf("a sound submission was read as %+v, %v", s, err)
+func TestParseJob(t *testing.T) {
+	if s, err := ParseJob([]byte(validSubmission)); err != nil || s.Tasks != 16 || s.Shape != Gang || !s.Spot {
+		t.Fatalf("a valid submission was read as %+v, %v", s, err)
 	}
 	for name, change := range map[string][2]string{
-		"no tasks":          {`"passes":16`, `"passes":0`},
-		"too many tasks":    {`"passes":16`, `"passes":100001`},
-		"half a task":       {`"passes":16`, `"passes":1.5`},
-		"wrong id":          {`wk-000412`, `job-1`},
-		"missing field":     {`"cores":8.0,`, ``},
-		"null field":        {`"cores":8.0`, `"cores":null`},
-		"negative amount":   {`"cores":8.0`, `"cores":-1`},
-		"endless amount":    {`"cores":8.0`, `"cores":1e400`},
-		"unknown shape":     {`ensemble`, `heap`},
-		"unknown urgency":   {`"high"`, `"urgent"`},
-		"text for a truth":  {`"oneZone":true`, `"oneZone":"yes"`},
-		"one id for a list": {`"dueS":900.0`, `"dueS":900.0,"awaits":"wk-1"`},
-		"no id in a list":   {`"dueS":900.0`, `"dueS":900.0,"awaits":["wk-1","job-2"]`},
-		"null in a list":    {`"dueS":900.0`, `"dueS":900.0,"awaits":[null]`},
-		"not an object":     {sound, `[1]`},
-		"not JSON":          {sound, `{"id":`},
+		"no tasks":           {`"passes":16`, `"passes":0`},
+		"too many tasks":     {`"passes":16`, `"passes":100001`},
+		"half a task":        {`"passes":16`, `"passes":1.5`},
+		"wrong id":           {`wk-000412`, `job-1`},
+		"missing field":      {`"cores":8.0,`, ``},
+		"null field":         {`"cores":8.0`, `"cores":null`},
+		"negative amount":    {`"cores":8.0`, `"cores":-1`},
+		"infinite amount":    {`"cores":8.0`, `"cores":1e400`},
+		"unknown shape":      {`ensemble`, `heap`},
+		"unknown urgency":    {`"high"`, `"urgent"`},
+		"text for a boolean": {`"oneZone":true`, `"oneZone":"yes"`},
+		"id instead of list": {`"dueS":900.0`, `"dueS":900.0,"awaits":"wk-1"`},
+		"invalid id in list": {`"dueS":900.0`, `"dueS":900.0,"awaits":["wk-1","job-2"]`},
+		"null in list":       {`"dueS":900.0`, `"dueS":900.0,"awaits":[null]`},
+		"not an object":      {validSubmission, `[1]`},
+		"not JSON":           {validSubmission, `{"id":`},
 	} {
-		if _, err := ParseJob([]byte(strings.Replace(sound, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s was taken", name)
+		if _, err := ParseJob([]byte(strings.Replace(validSubmission, change[0], change[1], 1))); err == nil {
+			t.Errorf("%s: the submission was accepted", name)
 		}
 	}
-	chain := strings.Replace(sound, `"dueS":900.0`, `"awaits":["wk-2","wk-1","wk-2"]`, 1)
+	chain := strings.Replace(validSubmission, `"dueS":900.0`, `"awaits":["wk-2","wk-1","wk-2"]`, 1)
 	if s, err := ParseJob([]byte(chain)); err != nil || !slices.Equal(s.Needs, []string{"wk-1", "wk-2"}) {
-		t.Errorf("awaits were read as %+v, %v", s, err)
+		t.Errorf("awaits was read as %+v, %v", s, err)
 	}
 	for _, optional := range []string{`"rigs":["g8"],`, `"plaza":null,`} {
-		if _, err := ParseJob([]byte(strings.Replace(sound, optional, "", 1))); err != nil {
+		if _, err := ParseJob([]byte(strings.Replace(validSubmission, optional, "", 1))); err != nil {
 			t.Errorf("without %s: %v", optional, err)
 		}
 	}
@@ -52,9 +52,9 @@
 	}
 }
 
-func TestRingIsSharedEqually(t *testing.T) {
+func TestRingSharesAreEqual(t *testing.T) {
 	if RingShare(math.MinInt64, 3) != 0 || RingShare(math.MaxInt64, 3) != 2 || RingShare(0, 2) != 1 || RingShare(-1, 2) != 0 {
-		t.Error("the ends of the shares are wrong")
+		t.Error("the bounds of the shares are wrong")
 	}
 	count := [3]int{}
 	for i := range 30000 {
@@ -65,8 +65,7 @@
 			t.Errorf("shares are uneven: %v", count)
 		}
 	}
-	// Known value of the 128-bit Murmur3 hash: its first half for an empty
-	// text is 0.
+	// The first half of the 128-bit Murmur3 hash of an empty string is known to be 0.
 	if RingToken("") != 0 {
 		t.Error("the ring's hash is not Murmur3")
 	}
@@ -79,11 +78,11 @@
 }
 
 func FuzzParseJob(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"id":"wk-1","passes":1e99}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if s, err := ParseJob(body); err == nil && (s.Validate() != nil || s.ID != PeekID(body)) {
-			t.Errorf("taken, but senseless: %q", body)
+			t.Errorf("accepted although invalid: %q", body)
 		}
 	})
 }
@@ -98,7 +97,7 @@
 		}
 		for _, task := range r.Tasks {
 			if job, index, ok := SplitTask(task.Task); !ok || !ValidJobID(job) || index >= MaxTasks {
-				t.Errorf("taken, but senseless: %q", body)
+				t.Errorf("accepted although invalid: %q", body)
 			}
 		}
 	})
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -17,7 +17,7 @@
 	Revision uint64 `json:"ledger"`
 }
 
-// Condition demands that a key has a version, 0 that it does not exist.
+// Condition requires that a key has the given version; 0 requires that the key does not exist.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"stamp"`
@@ -31,13 +31,13 @@
 	Drop  string `json:"drop,omitempty"`
 }
 
-// Txn is an atomic change under conditions.
+// Txn is a set of changes that is applied atomically if all conditions hold.
 type Txn struct {
 	If   []Condition `json:"if"`
 	Then []Change    `json:"then"`
 }
 
-// TxnAnswer is what became of a transaction.
+// TxnAnswer is the result of a transaction. Failed lists the keys whose conditions failed.
 type TxnAnswer struct {
 	Revision uint64   `json:"ledger"`
 	Failed   []string `json:"failed"`
@@ -51,13 +51,13 @@
 	Version uint64          `json:"stamp"`
 }
 
-// Events is the answer of a watch.
+// Events is the answer to a watch.
 type Events struct {
 	Revision uint64  `json:"ledger"`
 	Events   []Event `json:"events"`
 }
 
-// LeaseRequest and LeaseAnswer open a lease.
+// LeaseRequest opens a lease.
 type LeaseRequest struct {
 	TTLMs int64 `json:"ttlMs"`
 }
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -2,16 +2,16 @@
 
 import "errors"
 
-// Token orders the commanders of a worker: the term in the high bits, a
-// rising sequence in the low ones.
+// Token orders the controllers that command a worker: a newer controller has a higher token. The high bits are the
+// term, the low bits a rising sequence number.
 type Token uint64
 
 const sequenceBits = 32
 
-// NewToken joins a term and a sequence number.
+// NewToken combines a term and a sequence number.
 func NewToken(term, seq uint64) Token { return Token(term<<sequenceBits | seq&(1<<sequenceBits-1)) }
 
-// Term is the term in a token.
+// Term is the token's term.
 func (t Token) Term() uint64 { return uint64(t) >> sequenceBits }
 
 // The states of a task on a worker.
@@ -23,15 +23,15 @@
 	TaskExited   = "exited"
 )
 
-// Why a task exited, as far as daledyke tells the causes apart.
+// The causes of a task's exit that daledyke distinguishes.
 const (
 	CauseDone  = "done"
 	CauseError = "error"
-	// CauseIncomplete: a task of a gang waited for the others in vain.
+	// CauseIncomplete: a task of a gang timed out waiting for the other tasks.
 	CauseIncomplete = "incomplete"
 )
 
-// TaskReport is one task in a worker's report.
+// TaskReport is the state of one task in a worker's report.
 type TaskReport struct {
 	Task    string `json:"pass"`
 	Attempt uint64 `json:"try"`
@@ -40,7 +40,7 @@
 	Saved   bool   `json:"kept,omitempty"`
 }
 
-// Report is what a worker says of itself.
+// Report is a worker's report of its own state.
 type Report struct {
 	Machine string       `json:"bollard"`
 	Addr    string       `json:"address"`
@@ -54,7 +54,7 @@
 	Tasks   []TaskReport `json:"passes"`
 }
 
-// Validate says what is senseless about a report, if anything.
+// Validate returns an error if the report is invalid.
 func (r *Report) Validate() error {
 	if r.Machine == "" || len(r.Machine) > 100 || r.Addr == "" || r.Session == 0 {
 		return errors.New("a report lacks its machine, address or session")
@@ -67,19 +67,19 @@
 	return nil
 }
 
-// Newer tells whether r was sent after a message with these numbers.
+// Newer reports whether r was sent after a message with the given session and ticket.
 func (r *Report) Newer(session, ticket uint64) bool {
 	return r.Session > session || r.Session == session && r.Ticket > ticket
 }
 
-// The verbs of a command.
+// The verbs of commands.
 const (
 	VerbStart  = "start"
 	VerbStop   = "halt"
 	VerbForget = "reap"
 )
 
-// Command is one order to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb    string   `json:"verb"`
 	Task    string   `json:"pass"`
@@ -87,18 +87,18 @@
 	GraceS  *float64 `json:"leewayS,omitempty"`
 }
 
-// ReportAnswer is the body of a 200 to a report.
+// ReportAnswer is the body of a 200 response to a report.
 type ReportAnswer struct {
 	Token    Token     `json:"baton"`
 	Commands []Command `json:"orders"`
 }
 
-// Redirect is the body of a 421 to a report.
+// Redirect is the body of a 421 response to a report.
 type Redirect struct {
 	Node string `json:"booth,omitempty"`
 }
 
-// Orders is the body of a direct command.
+// Orders is the body of commands that are sent directly to a worker.
 type Orders struct {
 	Token    Token     `json:"baton"`
 	Session  uint64    `json:"shift"`
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -32,8 +32,8 @@
 		hearing = owners
 	}
 	assigned, moved := assign(cur, names, hearing, load)
-	w := &bookkeeping.Window{Number: 1, StartMs: now.UnixMilli(), Owners: owners, Assignment: assigned, Moved: moved, Divided: agreed(members, names, bookkeeping.GenerationBlocks, cur != nil && cur.Divided),
-		Apart: agreed(members, names, bookkeeping.GenerationApart, cur != nil && cur.Apart)}
+	w := &bookkeeping.Window{Number: 1, StartMs: now.UnixMilli(), Owners: owners, Assignment: assigned, Moved: moved, BlockOwners: agreed(members, names, bookkeeping.GenerationBlocks, cur != nil && cur.BlockOwners),
+		OwnPositions: agreed(members, names, bookkeeping.GenerationOwnPositions, cur != nil && cur.OwnPositions)}
 	if cur == nil {
 		return w
 	}
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -81,18 +81,18 @@
 		{know("c0", "c2"), false},
 	} {
 		before := w
-		if next(step.m); w.Divided != step.want || w.Apart {
-			t.Errorf("step %d: divided is %v, apart %v", i, w.Divided, w.Apart)
+		if next(step.m); w.BlockOwners != step.want || w.OwnPositions {
+			t.Errorf("step %d: divided is %v, apart %v", i, w.BlockOwners, w.OwnPositions)
 		}
-		if w.Divided != before.Divided && w == before {
+		if w.BlockOwners != before.BlockOwners && w == before {
 			t.Errorf("step %d: nobody was told", i)
 		}
 	}
 	all := know("c0", "c1", "c2")
 	for _, m := range all {
-		m.Generation = bookkeeping.GenerationApart
+		m.Generation = bookkeeping.GenerationOwnPositions
 	}
-	if next(all); !w.Apart || !w.Divided {
+	if next(all); !w.OwnPositions || !w.BlockOwners {
 		t.Errorf("all know of both: %+v", w)
 	}
 }
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -49,7 +49,7 @@
 	g.gauge("up_seconds", v.UpS)
 	g.gauge("session_valid", truth(v.Session.Valid))
 	g.gauge("session_left_seconds", v.Session.LeftS)
-	g.gauge("deaf", truth(v.Session.Deaf))
+	g.gauge("deaf", truth(v.Session.WorkersUnreachable))
 	g.gauge("answers", truth(v.Holds.Answers))
 	g.gauge("horizon_age_seconds", v.Holds.HorizonS)
 	g.gauge("leads", truth(v.Leader == v.Controller))
@@ -91,11 +91,11 @@
 func (g gauges) jobs(v *protocol.Overview) {
 	g.gauge("jobs_active", float64(v.Jobs.Active))
 	g.gauge("jobs_owned", float64(v.Jobs.Owned))
-	g.gauge("jobs_unmoved", float64(v.Jobs.Unmoved))
+	g.gauge("jobs_unmoved", float64(v.Jobs.Unarchived))
 	g.gauge("moves_total", float64(v.Jobs.Moves))
-	g.gauge("tasks_patient", float64(v.Jobs.Patient))
-	g.gauge("jobs_chained", float64(v.Jobs.Chained))
-	g.gauge("jobs_unclear", float64(v.Jobs.Unclear))
+	g.gauge("tasks_patient", float64(v.Jobs.WaitingForImage))
+	g.gauge("jobs_chained", float64(v.Jobs.WithDependencies))
+	g.gauge("jobs_unclear", float64(v.Jobs.NeedsUnknown))
 	for reason, n := range v.Jobs.Waiting {
 		g.gauge("jobs_waiting", float64(n), "reason", reason)
 	}
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -118,7 +118,7 @@
 
 // SubmitScript submits a batch script under a key: tried again with the same key, it
 // is the same job.
-func (u *Users) SubmitScript(ctx context.Context, key, options, script string) (taken protocol.ScriptTaken, err error) {
+func (u *Users) SubmitScript(ctx context.Context, key, options, script string) (taken protocol.ScriptAccepted, err error) {
 	header := http.Header{"Content-Type": {"text/plain"}, headerKey: {key}}
 	status, raw, err := u.try(ctx, http.MethodPost, pathScripts+"?options="+url.QueryEscape(options), header, []byte(script))
 	switch {
