--- a/internal/bookkeeping/blocks_test.go
+++ b/internal/bookkeeping/blocks_test.go
@@ -8,8 +8,9 @@
 	"daledyke/internal/protocol"
 )
 
-// For any number of controllers and any position of a job, each task is in exactly one block, and the numbers of
-// blocks per owner differ by at most two: one from the division of the ring and one from the last, partial block.
+// For any number of controllers and any position of a job, each task is in exactly one block, and the numbers
+// of blocks per owner differ by at most two: one from the division of the ring and one from the last, partial
+// block.
 func TestBlocksAreDividedEqually(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(t, "controllers")
--- a/internal/bookkeeping/dependencies.go
+++ b/internal/bookkeeping/dependencies.go
@@ -80,7 +80,7 @@
 // dependencyGraph is the graph of jobs that name one another. Valid jobs name only jobs that were accepted
 // earlier, so valid records form no cycles. All traversals are iterative, since dependency chains may be long.
 type dependencyGraph struct {
-	links map[string]*node
+	nodes map[string]*node
 	// unknown are the jobs that others name and that the replica knows nothing about.
 	unknown map[string]bool
 	// urgencyOf returns a job's own urgency.
@@ -89,15 +89,15 @@
 	changed map[*node]bool
 }
 
-func newDependencyGraph(weigh func(*Job) Urgency) *dependencyGraph {
-	return &dependencyGraph{links: map[string]*node{}, unknown: map[string]bool{}, urgencyOf: weigh, changed: map[*node]bool{}}
+func newDependencyGraph(urgencyOf func(*Job) Urgency) *dependencyGraph {
+	return &dependencyGraph{nodes: map[string]*node{}, unknown: map[string]bool{}, urgencyOf: urgencyOf, changed: map[*node]bool{}}
 }
 
 // update takes in a job as its record has it, and returns the other jobs whose dependency state changed. lookup
 // returns the replica's version of a job.
-func (c *dependencyGraph) update(j *Job, lookup func(id string) *Job) []string {
+func (g *dependencyGraph) update(j *Job, lookup func(id string) *Job) []string {
 	id := j.Spec.ID
-	l := c.links[id]
+	l := g.nodes[id]
 	switch {
 	case l == nil && (len(j.Spec.Needs) == 0 || final(j.RecordedState)):
 		return nil
@@ -105,106 +105,106 @@
 		l.job = j // only the results changed, or the record was archived
 		return nil
 	case l == nil:
-		l = c.node(id)
+		l = g.node(id)
 	}
 	isNew := l.job == nil
 	l.job = j
-	delete(c.unknown, id)
+	delete(g.unknown, id)
 	switch {
 	case final(j.RecordedState):
-		c.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
-		c.disconnect(l)
+		g.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
+		g.disconnect(l)
 	case isNew:
-		l.ownUrgency = c.urgencyOf(j)
-		c.connect(l, lookup)
-		c.setState(l, protocol.Pending, "", time.Time{})
-		l.urgency = c.effectiveUrgency(l)
-		c.raiseNeeds(l)
+		l.ownUrgency = g.urgencyOf(j)
+		g.connect(l, lookup)
+		g.setState(l, protocol.Pending, "", time.Time{})
+		l.urgency = g.effectiveUrgency(l)
+		g.raiseNeeds(l)
 	}
-	return c.takeChanged(l)
+	return g.takeChanged(l)
 }
 
 // resolve takes in the result of looking up a job that the replica does not have. A nil job was never accepted.
-func (c *dependencyGraph) resolve(id string, j *Job) []string {
-	l := c.links[id]
+func (g *dependencyGraph) resolve(id string, j *Job) []string {
+	l := g.nodes[id]
 	if l == nil || l.state != stateUnknown {
-		delete(c.unknown, id)
+		delete(g.unknown, id)
 		return nil
 	}
 	switch {
 	case j == nil:
-		delete(c.unknown, id)
-		c.setState(l, stateNeverAccepted, "", time.Time{})
+		delete(g.unknown, id)
+		g.setState(l, stateNeverAccepted, "", time.Time{})
 	case final(j.RecordedState):
-		delete(c.unknown, id)
-		c.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
+		delete(g.unknown, id)
+		g.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
 	}
-	return c.takeChanged(nil)
+	return g.takeChanged(nil)
 }
 
 // takeChanged returns the jobs whose dependency state changed, except the given one, and clears the set.
-func (c *dependencyGraph) takeChanged(except *node) (ids []string) {
-	for l := range c.changed {
+func (g *dependencyGraph) takeChanged(except *node) (ids []string) {
+	for l := range g.changed {
 		if l != except && l.job != nil {
 			ids = append(ids, l.id)
 		}
 	}
-	clear(c.changed)
+	clear(g.changed)
 	return ids
 }
 
-func (c *dependencyGraph) node(id string) *node {
-	l := c.links[id]
+func (g *dependencyGraph) node(id string) *node {
+	l := g.nodes[id]
 	if l == nil {
 		l = &node{id: id, dependents: map[*node]bool{}}
-		c.links[id] = l
+		g.nodes[id] = l
 	}
 	return l
 }
 
 // connect links a job to the jobs that it names.
-func (c *dependencyGraph) connect(l *node, lookup func(id string) *Job) {
+func (g *dependencyGraph) connect(l *node, lookup func(id string) *Job) {
 	for _, id := range l.job.Spec.Needs {
-		n := c.links[id]
+		n := g.nodes[id]
 		if n == nil {
-			n = c.node(id)
+			n = g.node(id)
 			if j := lookup(id); j != nil {
-				n.job, n.state, n.cancelledWith, n.ended, n.ownUrgency = j, j.State, j.CancelledWith, j.Ended, c.urgencyOf(j)
+				n.job, n.state, n.cancelledWith, n.ended, n.ownUrgency = j, j.State, j.CancelledWith, j.Ended, g.urgencyOf(j)
 				n.urgency = n.ownUrgency
 			} else {
-				c.unknown[id] = true
+				g.unknown[id] = true
 			}
 		}
 		l.needs = append(l.needs, n)
 		n.dependents[l] = true
-		c.changed[n] = true
+		g.changed[n] = true
 		l.unmet++
-		c.countNeed(l, n)
+		g.countNeed(l, n)
 		if n.state == stateUnknown {
 			l.unknown++
 		}
 	}
 	for _, n := range l.needs {
 		if n.state == protocol.Cancelled {
-			c.setState(l, protocol.Cancelled, cmp.Or(n.cancelledWith, n.id), n.ended)
+			g.setState(l, protocol.Cancelled, cmp.Or(n.cancelledWith, n.id), n.ended)
 			return
 		}
 	}
 }
 
 // countNeed updates the counters of a job for the current state of a job n that it needs.
-func (c *dependencyGraph) countNeed(l, n *node) {
+func (g *dependencyGraph) countNeed(l, n *node) {
 	if n.state == protocol.Done {
 		l.unmet--
 		if n.ended.After(l.ready) {
 			l.ready = n.ended
 		}
 	}
-	c.changed[l] = true
+	g.changed[l] = true
 }
 
 // setState sets the state of a job and propagates it to the jobs that name it. Final states never change.
-func (c *dependencyGraph) setState(l *node, state, root string, ended time.Time) {
+func (g *dependencyGraph) setState(l *node, state, root string, ended time.Time) {
 	type step struct {
 		l           *node
 		state, root string
@@ -221,19 +221,19 @@
 		if l.state == protocol.Cancelled {
 			l.cancelledWith = cmp.Or(s.root, l.id)
 		}
-		c.changed[l] = true
+		g.changed[l] = true
 		for a := range l.dependents {
 			if was == stateUnknown {
 				a.unknown--
 			}
-			c.countNeed(a, l)
+			g.countNeed(a, l)
 			if l.state == protocol.Cancelled {
 				pending = append(pending, step{a, protocol.Cancelled, l.cancelledWith, l.ended})
 			}
 		}
 		if final(l.state) {
 			for _, n := range l.needs {
-				c.recomputeUrgency(n)
+				g.recomputeUrgency(n)
 			}
 		}
 	}
@@ -241,20 +241,20 @@
 
 // disconnect unlinks a job whose record is final from the jobs that it named, and removes nodes that no other
 // job names any more.
-func (c *dependencyGraph) disconnect(l *node) {
+func (g *dependencyGraph) disconnect(l *node) {
 	for _, n := range l.needs {
 		delete(n.dependents, l)
-		c.changed[n] = true
-		c.removeIfUnused(n)
+		g.changed[n] = true
+		g.removeIfUnused(n)
 	}
 	l.needs = nil
-	c.removeIfUnused(l)
+	g.removeIfUnused(l)
 }
 
-func (c *dependencyGraph) removeIfUnused(l *node) {
+func (g *dependencyGraph) removeIfUnused(l *node) {
 	if len(l.dependents) == 0 && (l.job == nil || final(l.job.RecordedState) || len(l.job.Spec.Needs) == 0) {
-		delete(c.links, l.id)
-		delete(c.unknown, l.id)
+		delete(g.nodes, l.id)
+		delete(g.unknown, l.id)
 	}
 }
 
@@ -276,7 +276,7 @@
 }
 
 // effectiveUrgency is a job's own urgency, raised by the jobs that need it.
-func (c *dependencyGraph) effectiveUrgency(l *node) Urgency {
+func (g *dependencyGraph) effectiveUrgency(l *node) Urgency {
 	u := l.ownUrgency
 	for a := range l.dependents {
 		if propagates(a, l) {
@@ -287,14 +287,14 @@
 }
 
 // raiseNeeds propagates a job's urgency to all jobs that it needs, directly and indirectly.
-func (c *dependencyGraph) raiseNeeds(l *node) {
+func (g *dependencyGraph) raiseNeeds(l *node) {
 	for pending := []*node{l}; len(pending) > 0; {
 		l := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		for _, n := range l.needs {
 			if u := n.urgency.raisedBy(l); propagates(l, n) && u != n.urgency {
 				n.urgency = u
-				c.changed[n] = true
+				g.changed[n] = true
 				pending = append(pending, n)
 			}
 		}
@@ -302,28 +302,28 @@
 }
 
 // recomputeUrgency recomputes the urgency of a job, and of all that it needs, after a job that needs it ended.
-func (c *dependencyGraph) recomputeUrgency(l *node) {
+func (g *dependencyGraph) recomputeUrgency(l *node) {
 	for pending := []*node{l}; len(pending) > 0; {
 		l := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		if final(l.state) || l.job == nil {
 			continue
 		}
-		if u := c.effectiveUrgency(l); u != l.urgency {
+		if u := g.effectiveUrgency(l); u != l.urgency {
 			l.urgency = u
-			c.changed[l] = true
+			g.changed[l] = true
 			pending = append(pending, l.needs...)
 		}
 	}
 }
 
 // applyTo sets the dependency state of a job that is not published yet.
-func (c *dependencyGraph) applyTo(j *Job) {
+func (g *dependencyGraph) applyTo(j *Job) {
 	j.State = j.RecordedState
 	defer j.applyHold()
-	l := c.links[j.Spec.ID]
+	l := g.nodes[j.Spec.ID]
 	if l == nil {
-		j.DependencyState = DependencyState{Ready: j.Accepted, Urgency: c.urgencyOf(j), CancelledWith: j.CancelledWith}
+		j.DependencyState = DependencyState{Ready: j.Accepted, Urgency: g.urgencyOf(j), CancelledWith: j.CancelledWith}
 		return
 	}
 	j.DependencyState = DependencyState{WaitingOn: l.unmet, NeedsUnknown: l.unknown > 0, Urgency: l.urgency, CancelledWith: l.cancelledWith, HasDependents: len(l.dependents) > 0}
@@ -376,8 +376,8 @@
 }
 
 // unknownJobs returns up to limit of the named jobs that the replica knows nothing about.
-func (c *dependencyGraph) unknownJobs(limit int) (ids []string) {
-	for id := range c.unknown {
+func (g *dependencyGraph) unknownJobs(limit int) (ids []string) {
+	for id := range g.unknown {
 		if len(ids) == limit {
 			break
 		}
--- a/internal/bookkeeping/keys.go
+++ b/internal/bookkeeping/keys.go
@@ -59,6 +59,7 @@
 	return recordKinds[len(recordKinds)-1].name // the last entry covers all remaining keys
 }
 
+// keySuffix returns the part of a key after the prefix, and whether the key has the prefix.
 func keySuffix(key, prefix string) (string, bool) { return strings.CutPrefix(key, prefix) }
 
 // TermCounter is the value of the term counter.
@@ -221,8 +222,8 @@
 }
 
 // Machine returns one machine of the batch.
-func (l *RentalBatch) Machine(id string) *Machine {
-	return &Machine{ID: id, Type: l.Type, Zone: l.Zone, Spot: l.Spot, RentedMs: l.RentedMs}
+func (b *RentalBatch) Machine(id string) *Machine {
+	return &Machine{ID: id, Type: b.Type, Zone: b.Zone, Spot: b.Spot, RentedMs: b.RentedMs}
 }
 
 // RentalBatches groups machines of the same type, zone and spot flag into batches of at most
--- a/internal/bookkeeping/production_test.go
+++ b/internal/bookkeeping/production_test.go
@@ -170,22 +170,23 @@
 	}
 }
 
-// When the version in production rewrites a record, it drops fields that it doesn't know, such as the time at which a
-// job ended. That time is then the one at which the replica saw the change, or unknown if the replica saw none.
+// When the version in production rewrites a record, it drops fields that it doesn't know, such as the time at
+// which a job ended. That time is then the one at which the replica saw the change, or unknown if the replica
+// saw none.
 func TestRecordRewrittenByProductionVersion(t *testing.T) {
-	l := newReplicaFixture(t)
-	l.accept("wk-1", "idle", 0)
-	l.accept("wk-2", "high", 0, "wk-1")
-	raw, _ := json.Marshal(reencodeAs[productionJob](t, &jobRecord{Spec: l.records["wk-1"].Spec, State: protocol.Done, AcceptedMs: baseTime.UnixMilli()}))
-	l.revision++
-	l.replica.apply(jobKey("wk-1"), false, raw, l.revision)
-	if j := l.want("wk-2", protocol.Pending, 0); j.Ready.IsZero() || time.Since(j.Ready) > time.Minute {
+	f := newReplicaFixture(t)
+	f.accept("wk-1", "idle", 0)
+	f.accept("wk-2", "high", 0, "wk-1")
+	raw, _ := json.Marshal(reencodeAs[productionJob](t, &jobRecord{Spec: f.records["wk-1"].Spec, State: protocol.Done, AcceptedMs: baseTime.UnixMilli()}))
+	f.revision++
+	f.replica.apply(jobKey("wk-1"), false, raw, f.revision)
+	if j := f.want("wk-2", protocol.Pending, 0); j.Ready.IsZero() || time.Since(j.Ready) > time.Minute {
 		t.Errorf("ready at %v, want the time at which the change was seen", j.Ready)
 	}
 	// The end of a job that was looked up is unknown, so its dependents count as ready from their acceptance.
-	l.accept("wk-4", "high", 0, "wk-3")
-	l.replica.applyLookups([]lookupResult{{id: "wk-3", job: (*Job)(nil).withRecord(&jobRecord{Spec: &protocol.JobSpec{ID: "wk-3"}, State: protocol.Done}, 1)}})
-	if j := l.want("wk-4", protocol.Pending, 0); !j.Ready.Equal(j.Accepted) {
+	f.accept("wk-4", "high", 0, "wk-3")
+	f.replica.applyLookups([]lookupResult{{id: "wk-3", job: (*Job)(nil).withRecord(&jobRecord{Spec: &protocol.JobSpec{ID: "wk-3"}, State: protocol.Done}, 1)}})
+	if j := f.want("wk-4", protocol.Pending, 0); !j.Ready.Equal(j.Accepted) {
 		t.Errorf("ready at %v, want the time of acceptance", j.Ready)
 	}
 }
@@ -226,12 +227,12 @@
 
 func TestSplitLargeBatchesAndCatalogues(t *testing.T) {
 	st := NewStore(nil, 4, 2048)
-	l := RentalBatch{Type: "small", Zone: "a"}
+	batch := RentalBatch{Type: "small", Zone: "a"}
 	for n := range protocol.MaxRent {
-		l.Machines = append(l.Machines, strings.Repeat("x", 90)+string(rune('a'+n%26))+string(rune('a'+n/26)))
+		batch.Machines = append(batch.Machines, strings.Repeat("x", 90)+string(rune('a'+n%26))+string(rune('a'+n/26)))
 	}
 	var all []string
-	for name, part := range st.splitBatch("b-1-1", l) {
+	for name, part := range st.splitBatch("b-1-1", batch) {
 		if !st.fits(part) || !strings.HasPrefix(name, "b-1-1") {
 			t.Errorf("batch %s has %d bytes", name, encodedSize(part))
 		}
--- a/internal/bookkeeping/publish.go
+++ b/internal/bookkeeping/publish.go
@@ -12,20 +12,20 @@
 // How the replica publishes changed records to its listener.
 
 // applyRentalBatch publishes a batch and the machines that were added or removed with it.
-func (r *Replica) applyRentalBatch(name string, l *RentalBatch) {
+func (r *Replica) applyRentalBatch(name string, batch *RentalBatch) {
 	old := r.batches[name]
-	if l != nil && old != nil && l.Version <= old.Version {
+	if batch != nil && old != nil && batch.Version <= old.Version {
 		return
 	}
-	r.listener.RentalBatchChanged(name, l)
-	if l == nil {
+	r.listener.RentalBatchChanged(name, batch)
+	if batch == nil {
 		delete(r.batches, name)
 	} else {
-		r.batches[name] = l
-		for _, id := range l.Machines {
+		r.batches[name] = batch
+		for _, id := range batch.Machines {
 			if old == nil || !slices.Contains(old.Machines, id) {
 				r.batchCounts[id]++
-				r.listener.MachineChanged(id, l.Machine(id))
+				r.listener.MachineChanged(id, batch.Machine(id))
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 		return
 	}
 	for _, id := range old.Machines {
-		if l != nil && slices.Contains(l.Machines, id) {
+		if batch != nil && slices.Contains(batch.Machines, id) {
 			continue
 		}
 		if r.batchCounts[id]--; r.batchCounts[id] <= 0 {
--- a/internal/bookkeeping/quotas.go
+++ b/internal/bookkeeping/quotas.go
@@ -13,9 +13,9 @@
 	"daledyke/internal/transport"
 )
 
-// Quota accounts that operators changed at run time. The accounts are stored in parts, which are written first. The
-// record that names the parts is then changed conditionally on its version, so that a change of any number of
-// accounts is atomic.
+// Quota accounts that operators changed at run time. The accounts are stored in parts, which are written
+// first. The record that names the parts is then changed conditionally on its version, so that a change of
+// any number of accounts is atomic.
 
 // Quotas are the quota accounts as last set.
 type Quotas struct {
@@ -73,8 +73,8 @@
 	if seen != nil {
 		next.Revision, cond.Version = seen.Revision+1, seen.Version
 	}
-	// Revisions never share parts. Parts of a former revision are dropped unconditionally, and a delayed drop may
-	// be applied after the same accounts are set again.
+	// Revisions never share parts. Parts of a former revision are dropped unconditionally, and a delayed drop
+	// may be applied after the same accounts are set again.
 	sum = fmt.Sprintf("%s-%d", sum, next.Revision)
 	next.Sum = sum
 	var then []protocol.Change
@@ -108,7 +108,7 @@
 // quotaAssembler assembles accounts from parts that arrive in any order.
 type quotaAssembler struct {
 	parts            map[string][]byte // by key
-	head             *Quotas
+	record           *Quotas
 	publishedVersion uint64 // version of the last record returned
 }
 
@@ -150,15 +150,15 @@
 		p.addPart(key, raw, dropped)
 	} else if q := parse[Quotas](key, raw, dropped); q != nil {
 		q.Version = version
-		p.head = q
+		p.record = q
 	}
-	if p.head == nil || p.head.Version <= p.publishedVersion {
+	if p.record == nil || p.record.Version <= p.publishedVersion {
 		return nil
 	}
-	if p.assemble(p.head); p.head.Accounts == nil {
+	if p.assemble(p.record); p.record.Accounts == nil {
 		return nil
 	}
-	p.publishedVersion = p.head.Version
-	q := *p.head
+	p.publishedVersion = p.record.Version
+	q := *p.record
 	return &q
 }
--- a/internal/bookkeeping/quotas_test.go
+++ b/internal/bookkeeping/quotas_test.go
@@ -11,8 +11,8 @@
 	"daledyke/internal/transport"
 )
 
-// Thousands of accounts are stored in parts that arrive in any order, before or after the record that names them.
-// They are published once, when complete, and leftover parts of former revisions have no effect.
+// Thousands of accounts are stored in parts that arrive in any order, before or after the record that names
+// them. They are published once, when complete, and leftover parts of former revisions have no effect.
 func TestSplitAccounts(t *testing.T) {
 	st := NewStore(transport.NewState(nil, "", 1, 1), 12, 2048)
 	records := func(revision uint64, n int) (keys []string, values []any) {
--- a/internal/bookkeeping/reader.go
+++ b/internal/bookkeeping/reader.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Reader tells queries when the replica is fresh enough to answer them. Users ask about their jobs far more
-// often than jobs change. One read of the state service that starts after a set of queries arrived answers all
+// Reader waits until the replica is fresh enough to answer a query. Users ask about their jobs far more often
+// than jobs change. One read of the state service that starts after a set of queries arrived answers all
 // of them, so the cost of queries grows with time and not with the number of users. Reader is an actor.
 type Reader struct {
 	store *Store
--- a/internal/bookkeeping/records_test.go
+++ b/internal/bookkeeping/records_test.go
@@ -34,10 +34,10 @@
 		ms = append(ms, Machine{ID: fmt.Sprintf("host-%03d", n), Type: "small", Zone: []string{"a", "b"}[n%2]})
 	}
 	total := 0
-	for _, l := range RentalBatches(ms) {
-		total += len(l.Machines)
-		if len(l.Machines) > protocol.MaxRent {
-			t.Errorf("a batch has %d machines", len(l.Machines))
+	for _, batch := range RentalBatches(ms) {
+		total += len(batch.Machines)
+		if len(batch.Machines) > protocol.MaxRent {
+			t.Errorf("a batch has %d machines", len(batch.Machines))
 		}
 	}
 	if total != len(ms) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// A machine that two controllers found at once is in two batches. It is removed only when both batches have dropped
-// it, since no controller waits for a machine that was reported as removed.
+// A machine that two controllers found at once is in two batches. It is removed only when both batches have
+// dropped it, since no controller waits for a machine that was reported as removed.
 func TestMachineRemovedWithLastBatch(t *testing.T) {
 	h := &machineListener{machines: map[string]bool{}}
 	r := NewReplica(nil, nil, nil, h, nil)
@@ -115,22 +115,22 @@
 		t.Errorf("%d jobs kept, want %d", len(r.jobs), want)
 	}
 	// Finished jobs that an unfinished job needs are kept too.
-	l := newReplicaFixture(t)
-	l.accept("wk-a", "idle", 0)
-	l.accept("wk-c", "idle", 0)
-	l.accept("wk-b", "idle", 0, "wk-a", "wk-c")
-	l.end("wk-a", protocol.Done, 0)
+	f := newReplicaFixture(t)
+	f.accept("wk-a", "idle", 0)
+	f.accept("wk-c", "idle", 0)
+	f.accept("wk-b", "idle", 0, "wk-a", "wk-c")
+	f.end("wk-a", protocol.Done, 0)
 	for n := range maxFinishedJobs + 10 {
 		id := fmt.Sprintf("wk-%d", n)
-		l.accept(id, "idle", 0)
-		l.end(id, protocol.Done, 0)
+		f.accept(id, "idle", 0)
+		f.end(id, protocol.Done, 0)
 	}
-	if j := l.replica.jobs["wk-a"]; j == nil || !j.HasDependents || len(l.replica.finished) > maxFinishedJobs+1 {
-		t.Errorf("%+v, %d finished jobs kept", j, len(l.replica.finished))
+	if j := f.replica.jobs["wk-a"]; j == nil || !j.HasDependents || len(f.replica.finished) > maxFinishedJobs+1 {
+		t.Errorf("%+v, %d finished jobs kept", j, len(f.replica.finished))
 	}
-	l.end("wk-c", protocol.Done, 0)
-	l.end("wk-b", protocol.Done, 0)
-	if l.listener.jobs["wk-a"].HasDependents {
+	f.end("wk-c", protocol.Done, 0)
+	f.end("wk-b", protocol.Done, 0)
+	if f.listener.jobs["wk-a"].HasDependents {
 		t.Error("the listener did not hear that no job needs wk-a any more")
 	}
 }
--- a/internal/bookkeeping/replica.go
+++ b/internal/bookkeeping/replica.go
@@ -22,7 +22,7 @@
 	LeaderChanged(*Leader)
 	WindowChanged(*Window)
 	SlotChanged(slot int, s *Slot)
-	RentalBatchChanged(name string, l *RentalBatch)
+	RentalBatchChanged(name string, batch *RentalBatch)
 	MachineChanged(id string, m *Machine)
 	CatalogChanged(*protocol.Catalog)
 	QuotasChanged(*Quotas)
@@ -41,7 +41,8 @@
 	batches   map[string]*RentalBatch
 	// batchCounts is the number of batches that contain a machine. It exceeds one if several controllers
 	// found the machine at once.
-	batchCounts  map[string]int
+	batchCounts map[string]int
+	// earlyResults are results of jobs whose records have not arrived yet.
 	earlyResults map[string]map[int]Chunk
 	// dependencies is the graph of jobs that name one another.
 	dependencies *dependencyGraph
@@ -86,11 +87,11 @@
 			loaded = err == nil
 		} else {
 			var ev protocol.Events
-			block := cmp.Or(r.WatchTimeout, defaultWatchTimeout)
+			timeout := cmp.Or(r.WatchTimeout, defaultWatchTimeout)
 			if r.startLookups(ctx) {
-				block = lookupWatchTimeout
+				timeout = lookupWatchTimeout
 			}
-			ev, err = r.store.state.Watch(ctx, Root, from, block)
+			ev, err = r.store.state.Watch(ctx, Root, from, timeout)
 			if err == nil {
 				for _, e := range ev.Events {
 					r.apply(e.Set+e.Drop, e.Drop != "", e.Value, e.Version)
@@ -312,12 +313,12 @@
 			r.listener.SlotChanged(slot, s)
 		}
 	} else if name, ok := keySuffix(key, batchPrefix); ok {
-		l := parse[RentalBatch](key, raw, dropped)
-		if l != nil {
-			l.Version = version
+		batch := parse[RentalBatch](key, raw, dropped)
+		if batch != nil {
+			batch.Version = version
 		}
-		if l != nil || dropped {
-			r.applyRentalBatch(name, l)
+		if batch != nil || dropped {
+			r.applyRentalBatch(name, batch)
 		}
 	} else if key == keyLeader {
 		l := parse[Leader](key, raw, dropped)
--- a/internal/bookkeeping/sizes.go
+++ b/internal/bookkeeping/sizes.go
@@ -157,10 +157,10 @@
 
 // ---- rosters
 
-// packRoster converts the roster of a slot's record to a form that takes some 1.5 bytes a machine, if the usual
-// form is too large. Versions that don't know job dependencies don't know the packed form either: to them no roster
-// was kept, and they wait until everything that may run there has surely lapsed. Once no such version runs, the
-// packed form can be the only one.
+// packRoster converts the roster of a slot's record to a form that takes some 1.5 bytes a machine, if the
+// usual form is too large. Versions that don't know job dependencies don't know the packed form either: to
+// them no roster was kept, and they wait until everything that may run there has surely lapsed. Once no such
+// version runs, the packed form can be the only one.
 func (s *Store) packRoster(rec Slot) Slot {
 	if s.fits(rec) {
 		return rec
@@ -197,20 +197,20 @@
 // ---- batches
 
 // splitBatch returns the records for a batch: one, unless the machine names are too long for one value.
-func (s *Store) splitBatch(name string, l RentalBatch) map[string]RentalBatch {
+func (s *Store) splitBatch(name string, batch RentalBatch) map[string]RentalBatch {
 	out := map[string]RentalBatch{}
-	ids := l.Machines
+	ids := batch.Machines
 	for k := 0; ; k++ {
 		key := name
 		if k > 0 {
 			key = fmt.Sprintf("%s.%d", name, k)
 		}
-		l.Machines = ids
-		for !s.fits(l) && len(l.Machines) > 1 {
-			l.Machines = l.Machines[:(len(l.Machines)+1)/2]
+		batch.Machines = ids
+		for !s.fits(batch) && len(batch.Machines) > 1 {
+			batch.Machines = batch.Machines[:(len(batch.Machines)+1)/2]
 		}
-		out[key] = l
-		if ids = ids[len(l.Machines):]; len(ids) == 0 {
+		out[key] = batch
+		if ids = ids[len(batch.Machines):]; len(ids) == 0 {
 			return out
 		}
 	}
@@ -218,8 +218,8 @@
 
 // ---- the catalogue
 
-// catalogRecord is the catalogue, or a part of it. Versions that don't know job dependencies read only a catalogue
-// that is stored whole under one key. They use the last one stored that way, or ask the cloud.
+// catalogRecord is the catalogue, or a part of it. Versions that don't know job dependencies read only a
+// catalogue that is stored whole under one key. They use the last one stored that way, or ask the cloud.
 type catalogRecord struct {
 	protocol.Catalog
 	Part      int   `json:"part,omitempty"`
--- a/internal/bookkeeping/stale_writes_test.go
+++ b/internal/bookkeeping/stale_writes_test.go
@@ -18,8 +18,8 @@
 	"daledyke/internal/transport"
 )
 
-// newEmulatedStore returns a store on a state service that commits *transactionsLeft transactions and refuses all
-// later ones, with the smallest limits that daledyke accepts.
+// newEmulatedStore returns a store on a state service that commits *transactionsLeft transactions and refuses
+// all later ones, with the smallest limits that daledyke accepts.
 func newEmulatedStore(t *testing.T, transactionsLeft *int) *Store {
 	limits := emulator.Limits{ValueKB: 2, WriteRPS: 10_000, TxnOps: 4}
 	state, err := emulator.NewState(t.Context(), limits, "")
@@ -73,9 +73,9 @@
 	}
 }
 
-// A job with a long description that is cancelled with another one keeps a readable record wherever its archiving
-// is interrupted. This failed when its description was dropped before its record said that the job is over: after a
-// restart of all controllers the job was lost.
+// A job with a long description that is cancelled with another one keeps a readable record wherever its
+// archiving is interrupted. This failed when its description was dropped before its record said that the job
+// is over: after a restart of all controllers the job was lost.
 func TestInterruptedArchiveKeepsRecord(t *testing.T) {
 	for after := range 8 {
 		transactionsLeft := 1000
--- a/internal/bookkeeping/store_jobs.go
+++ b/internal/bookkeeping/store_jobs.go
@@ -15,8 +15,8 @@
 // userTimeout limits how long a user's request waits for the state service.
 const userTimeout = 1700 * time.Millisecond
 
-// CreateJob records a job as accepted. A non-empty cancelledWith names a cancelled job that this one needs: the job
-// is then cancelled from the start. ErrConflict means that the id is already in use.
+// CreateJob records a job as accepted. A non-empty cancelledWith names a cancelled job that this one needs:
+// the job is then cancelled from the start. ErrConflict means that the id is already in use.
 func (s *Store) CreateJob(ctx context.Context, spec *protocol.JobSpec, cancelledWith string) error {
 	now := time.Now()
 	rec := &jobRecord{Spec: spec, State: protocol.Pending, AcceptedMs: now.UnixMilli()}
@@ -92,15 +92,15 @@
 	return out, nil
 }
 
-// finishChange returns the single change that ends a job. It rewrites the record in place: moving the record to the
-// archive takes two more changes, which can wait until no more important writes are pending (Archive).
+// finishChange returns the single change that ends a job. It rewrites the record in place: moving the record
+// to the archive takes two more changes, which can wait until no more important writes are pending (Archive).
 func (s *Store) finishChange(j *Job, state string) protocol.Change {
 	return set(jobKey(j.Spec.ID), s.trimToFit(j.endedRecord(state, "", time.Now())), 0)
 }
 
-// Archive moves the records of jobs that are over to the archive, which a starting controller does not read, and
-// drops their results. A record that changed meanwhile fails only the jobs in the same transaction. For a job that
-// was cancelled with another one, the archive record is the first to record the cancellation.
+// Archive moves the records of jobs that are over to the archive, which a starting controller does not read,
+// and drops their results. A record that changed meanwhile fails only the jobs in the same transaction. For a
+// job that was cancelled with another one, the archive record is the first to record the cancellation.
 func (s *Store) Archive(ctx context.Context, jobs []*Job) {
 	var conds []protocol.Condition
 	var then []protocol.Change
@@ -112,8 +112,8 @@
 	for _, j := range jobs {
 		drops := attachedDrops(j)
 		if j.RecordedState == protocol.Pending && len(drops) > s.txnOps-2 {
-			// The pending record still needs its description, and dropping that takes several transactions. So the
-			// final state is recorded first; a later call archives the job.
+			// The pending record still needs its description, and dropping that takes several transactions.
+			// So the final state is recorded first; a later call archives the job.
 			if s.commit(ctx, transport.Deferred, 10*time.Second, []protocol.Condition{{Key: jobKey(j.Spec.ID), Version: j.Version}},
 				set(jobKey(j.Spec.ID), s.trimToFit(j.endedRecord(j.State, j.CancelledWith, time.Now())), 0)) != nil {
 				return
@@ -246,8 +246,8 @@
 // MaxOutcomes is the number of jobs whose results should be written at once.
 func (s *Store) MaxOutcomes() int { return s.txnOps }
 
-// Record writes outcomes, as many as fit in each transaction. A failed condition fails the whole transaction; its
-// outcomes are then written one by one.
+// Record writes outcomes, as many as fit in each transaction. A failed condition fails the whole transaction;
+// its outcomes are then written one by one.
 func (s *Store) Record(ctx context.Context, u transport.Urgency, outcomes []Outcome) {
 	for len(outcomes) > 0 {
 		var conds []protocol.Condition
@@ -271,8 +271,8 @@
 	}
 }
 
-// checkRecorded returns the current revision and which of the given jobs have a record, archived or not. It takes
-// at most maxRecordedChecks ids.
+// checkRecorded returns the current revision and which of the given jobs have a record, archived or not. It
+// takes at most maxRecordedChecks ids.
 func (s *Store) checkRecorded(ctx context.Context, timeout time.Duration, ids []string) (revision uint64, recorded map[string]bool, err error) {
 	var conds []protocol.Condition
 	for _, id := range ids {
--- a/internal/bookkeeping/store_machines.go
+++ b/internal/bookkeeping/store_machines.go
@@ -24,9 +24,9 @@
 			return nil, err
 		}
 		for _, p := range page.Pairs {
-			if l := parse[RentalBatch](p.Key, p.Value, false); l != nil {
-				for _, id := range l.Machines {
-					out = append(out, l.Machine(id))
+			if batch := parse[RentalBatch](p.Key, p.Value, false); batch != nil {
+				for _, id := range batch.Machines {
+					out = append(out, batch.Machine(id))
 				}
 			}
 			from = p.Key
@@ -38,9 +38,9 @@
 }
 
 // AddRentalBatch registers machines under a batch name that was never used before.
-func (s *Store) AddRentalBatch(ctx context.Context, u transport.Urgency, name string, l RentalBatch) error {
-	for part, l := range s.splitBatch(name, l) {
-		err := s.commit(ctx, u, 4*time.Second, []protocol.Condition{{Key: batchKey(part)}}, set(batchKey(part), l, 0))
+func (s *Store) AddRentalBatch(ctx context.Context, u transport.Urgency, name string, batch RentalBatch) error {
+	for part, record := range s.splitBatch(name, batch) {
+		err := s.commit(ctx, u, 4*time.Second, []protocol.Condition{{Key: batchKey(part)}}, set(batchKey(part), record, 0))
 		// An existing record was written by an earlier attempt.
 		if err != nil && !errors.Is(err, ErrConflict) {
 			return err
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// DropMachines removes machines that are gone from the given batches, as last seen. A batch that changed meanwhile
-// fails only the batches in the same transaction.
+// DropMachines removes machines that are gone from the given batches, as last seen. A batch that changed
+// meanwhile fails only the batches in the same transaction.
 func (s *Store) DropMachines(ctx context.Context, ids map[string]bool, batches map[string]*RentalBatch) error {
 	var failed error
 	var conds []protocol.Condition
@@ -65,20 +65,20 @@
 		conds, then = nil, nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(batches)) {
-		l := *batches[name]
-		seen := protocol.Condition{Key: batchKey(name), Version: l.Version}
-		l.Machines = slices.DeleteFunc(slices.Clone(l.Machines), func(id string) bool { return ids[id] })
-		change := set(batchKey(name), l, 0)
-		if remaining := l.Machines; len(remaining) > 0 && !s.fits(l) {
+		batch := *batches[name]
+		seen := protocol.Condition{Key: batchKey(name), Version: batch.Version}
+		batch.Machines = slices.DeleteFunc(slices.Clone(batch.Machines), func(id string) bool { return ids[id] })
+		change := set(batchKey(name), batch, 0)
+		if remaining := batch.Machines; len(remaining) > 0 && !s.fits(batch) {
 			// The batch was stored under a higher limit on values. The remaining machines are registered in new
 			// records first, since a machine that no batch names counts as gone.
-			if err := s.AddRentalBatch(ctx, transport.Ordinary, name+"."+remaining[0], l); err != nil {
+			if err := s.AddRentalBatch(ctx, transport.Ordinary, name+"."+remaining[0], batch); err != nil {
 				failed = err
 				continue
 			}
-			l.Machines = nil
+			batch.Machines = nil
 		}
-		if len(l.Machines) == 0 {
+		if len(batch.Machines) == 0 {
 			change = protocol.Change{Drop: batchKey(name)}
 		}
 		if len(then) == s.txnOps {
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -1,6 +1,6 @@
-// Package protocol defines the messages between daledyke and its environment: the wire types, their validation and
-// the names that are built from them. Go names are the usual terms of schedulers (Job, Task, Gang, Attempt, Machine,
-// Team, Token); the JSON tags are the names on the wire. The package does no I/O.
+// Package protocol defines the messages between daledyke and its environment: the wire types, their
+// validation and the names that are built from them. Go names are the usual terms of schedulers (Job, Task,
+// Gang, Attempt, Machine, Team, Token); the JSON tags are the names on the wire. The package does no I/O.
 package protocol
 
 import (
@@ -167,8 +167,8 @@
 	return s.Tasks
 }
 
-// ValidJobID reports whether an id has the form of a job id: wk- and 1 to 18 digits. It is called for every task of
-// every report.
+// ValidJobID reports whether an id has the form of a job id: wk- and 1 to 18 digits. It is called for every
+// task of every report.
 func ValidJobID(id string) bool {
 	number, ok := strings.CutPrefix(id, "wk-")
 	return ok && len(number) >= 1 && len(number) <= 18 && strings.Trim(number, "0123456789") == ""
@@ -268,8 +268,8 @@
 	return job, index, err == nil && index >= 0 && index < MaxTasks
 }
 
-// RingToken is a name's position on the Murmur3 ring: the first 64 bits of the 128-bit hash as a signed number, as
-// the original implementation of the ring defines it.
+// RingToken is a name's position on the Murmur3 ring: the first 64 bits of the 128-bit hash as a signed
+// number, as the original implementation of the ring defines it.
 func RingToken(name string) int64 {
 	h, _ := murmur3.StringSum128(name)
 	return int64(h)
--- a/internal/protocol/machine.go
+++ b/internal/protocol/machine.go
@@ -69,7 +69,8 @@
 // Room is the capacity of an empty machine of the type.
 func (t *MachineType) Room() Room { return Room{t.Cores, t.Accels, t.RAM} }
 
-// FetchTime is how long a machine of the type takes to fetch that much data, with no other fetch at the same time.
+// FetchTime is how long a machine of the type takes to fetch that much data, with no other fetch at the same
+// time.
 func (t *MachineType) FetchTime(gb float64) time.Duration {
 	if t.FetchRate <= 0 {
 		return 0
--- a/internal/protocol/operators.go
+++ b/internal/protocol/operators.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Overview is the state of a controller as shown to operators. It contains only what the controller knows locally:
-// building it sends no request to the state service, the cloud or the siblings.
+// Overview is the state of a controller as shown to operators. It contains only what the controller knows
+// locally: building it sends no request to the state service, the cloud or the siblings.
 type Overview struct {
 	Controller string       `json:"controller"`
 	Zone       string       `json:"zone"`
@@ -27,7 +27,8 @@
 	Jobs     JobCount      `json:"jobs"`
 	Waiting  []JobView     `json:"waiting"` // the longest waiting jobs, at most MaxWaiting
 	Siblings []SiblingView `json:"siblings"`
-	// NoCapacity lists kinds of machines that the cloud recently had no capacity for; only the leader knows them.
+	// NoCapacity lists kinds of machines that the cloud recently had no capacity for; only the leader knows
+	// them.
 	NoCapacity []string `json:"noCapacity"`
 	// Quotas shows nested quotas, if enabled: the accounts that use most.
 	Quotas *QuotaView `json:"quotas,omitempty"`
@@ -72,9 +73,9 @@
 	Vacating int `json:"vacating"`
 	Tasks    int `json:"tasks"`
 	Running  int `json:"running"`
-	// Answers: the controller answers its workers, under a session or on promises. HorizonS is the age of the time
-	// up to which the controller surely knows all cancellations. If it grows too old, the controller answers no
-	// workers.
+	// Answers: the controller answers its workers, under a session or on promises. HorizonS is the age of the
+	// time up to which the controller surely knows all cancellations. If it grows too old, the controller
+	// answers no workers.
 	Answers  bool    `json:"answers"`
 	HorizonS float64 `json:"horizonS"`
 }
@@ -152,8 +153,9 @@
 	Needs         []string `json:"needs,omitempty"`
 	NeededBy      []string `json:"neededBy,omitempty"`
 	CancelledWith string   `json:"cancelledWith,omitempty"`
-	// RaisedTo is the priority inherited from jobs that need it, if higher than its own. DueInS is the time until
-	// its own deadline, MustEndInS the time until it must end for its own deadline and those of jobs that need it.
+	// RaisedTo is the priority inherited from jobs that need it, if higher than its own. DueInS is the time
+	// until its own deadline, MustEndInS the time until it must end for its own deadline and those of jobs
+	// that need it.
 	RaisedTo   string   `json:"raisedTo,omitempty"`
 	DueInS     *float64 `json:"dueInS,omitempty"`
 	MustEndInS *float64 `json:"mustEndInS,omitempty"`
@@ -216,8 +218,8 @@
 	Guarantee Room    `json:"guarantee"`
 	Limit     Room    `json:"limit"` // 0: unlimited
 	Weight    float64 `json:"weight"`
-	// Used is the use by the account and all accounts below it. Borrowed is the use beyond its guarantee, Lent the
-	// part of its guarantee that others may use.
+	// Used is the use by the account and all accounts below it. Borrowed is the use beyond its guarantee,
+	// Lent the part of its guarantee that others may use.
 	Used     Room `json:"used"`
 	Borrowed Room `json:"borrowed"`
 	Lent     Room `json:"lent"`
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Token orders the controllers that command a worker: a newer controller has a higher token. The high bits are the
-// term, the low bits a rising sequence number.
+// Token orders the controllers that command a worker: a token of a later term is higher. The high bits
+// are the term, the low bits a rising sequence number.
 type Token uint64
 
 const sequenceBits = 32
