--- a/internal/bookkeeping/dependencies.go
+++ b/internal/bookkeeping/dependencies.go
@@ -97,56 +97,56 @@
 // returns the replica's version of a job.
 func (g *dependencyGraph) update(j *Job, lookup func(id string) *Job) []string {
 	id := j.Spec.ID
-	l := g.nodes[id]
+	n := g.nodes[id]
 	switch {
-	case l == nil && (len(j.Spec.Needs) == 0 || final(j.RecordedState)):
+	case n == nil && (len(j.Spec.Needs) == 0 || final(j.RecordedState)):
 		return nil
-	case l != nil && l.job != nil && l.job.RecordedState == j.RecordedState:
-		l.job = j // only the results changed, or the record was archived
+	case n != nil && n.job != nil && n.job.RecordedState == j.RecordedState:
+		n.job = j // only the results changed, or the record was archived
 		return nil
-	case l == nil:
-		l = g.node(id)
+	case n == nil:
+		n = g.node(id)
 	}
-	isNew := l.job == nil
-	l.job = j
+	isNew := n.job == nil
+	n.job = j
 	delete(g.unknown, id)
 	switch {
 	case final(j.RecordedState):
-		g.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
-		g.disconnect(l)
+		g.setState(n, j.RecordedState, j.CancelledWith, j.Ended)
+		g.disconnect(n)
 	case isNew:
-		l.ownUrgency = g.urgencyOf(j)
-		g.connect(l, lookup)
-		g.setState(l, protocol.Pending, "", time.Time{})
-		l.urgency = g.effectiveUrgency(l)
-		g.raiseNeeds(l)
+		n.ownUrgency = g.urgencyOf(j)
+		g.connect(n, lookup)
+		g.setState(n, protocol.Pending, "", time.Time{})
+		n.urgency = g.effectiveUrgency(n)
+		g.raiseNeeds(n)
 	}
-	return g.takeChanged(l)
+	return g.takeChanged(n)
 }
 
 // resolve takes in the result of looking up a job that the replica does not have. A nil job was never accepted.
 func (g *dependencyGraph) resolve(id string, j *Job) []string {
-	l := g.nodes[id]
-	if l == nil || l.state != stateUnknown {
+	n := g.nodes[id]
+	if n == nil || n.state != stateUnknown {
 		delete(g.unknown, id)
 		return nil
 	}
 	switch {
 	case j == nil:
 		delete(g.unknown, id)
-		g.setState(l, stateNeverAccepted, "", time.Time{})
+		g.setState(n, stateNeverAccepted, "", time.Time{})
 	case final(j.RecordedState):
 		delete(g.unknown, id)
-		g.setState(l, j.RecordedState, j.CancelledWith, j.Ended)
+		g.setState(n, j.RecordedState, j.CancelledWith, j.Ended)
 	}
 	return g.takeChanged(nil)
 }
 
 // takeChanged returns the jobs whose dependency state changed, except the given one, and clears the set.
 func (g *dependencyGraph) takeChanged(except *node) (ids []string) {
-	for l := range g.changed {
-		if l != except && l.job != nil {
-			ids = append(ids, l.id)
+	for n := range g.changed {
+		if n != except && n.job != nil {
+			ids = append(ids, n.id)
 		}
 	}
 	clear(g.changed)
@@ -154,86 +154,86 @@
 }
 
 func (g *dependencyGraph) node(id string) *node {
-	l := g.nodes[id]
-	if l == nil {
-		l = &node{id: id, dependents: map[*node]bool{}}
-		g.nodes[id] = l
+	n := g.nodes[id]
+	if n == nil {
+		n = &node{id: id, dependents: map[*node]bool{}}
+		g.nodes[id] = n
 	}
-	return l
+	return n
 }
 
 // connect links a job to the jobs that it names.
-func (g *dependencyGraph) connect(l *node, lookup func(id string) *Job) {
-	for _, id := range l.job.Spec.Needs {
-		n := g.nodes[id]
-		if n == nil {
-			n = g.node(id)
+func (g *dependencyGraph) connect(n *node, lookup func(id string) *Job) {
+	for _, id := range n.job.Spec.Needs {
+		need := g.nodes[id]
+		if need == nil {
+			need = g.node(id)
 			if j := lookup(id); j != nil {
-				n.job, n.state, n.cancelledWith, n.ended, n.ownUrgency = j, j.State, j.CancelledWith, j.Ended, g.urgencyOf(j)
-				n.urgency = n.ownUrgency
+				need.job, need.state, need.cancelledWith, need.ended, need.ownUrgency = j, j.State, j.CancelledWith, j.Ended, g.urgencyOf(j)
+				need.urgency = need.ownUrgency
 			} else {
 				g.unknown[id] = true
 			}
 		}
-		l.needs = append(l.needs, n)
-		n.dependents[l] = true
-		g.changed[n] = true
-		l.unmet++
-		g.countNeed(l, n)
-		if n.state == stateUnknown {
-			l.unknown++
+		n.needs = append(n.needs, need)
+		need.dependents[n] = true
+		g.changed[need] = true
+		n.unmet++
+		g.countNeed(n, need)
+		if need.state == stateUnknown {
+			n.unknown++
 		}
 	}
-	for _, n := range l.needs {
-		if n.state == protocol.Cancelled {
-			g.setState(l, protocol.Cancelled, cmp.Or(n.cancelledWith, n.id), n.ended)
+	for _, need := range n.needs {
+		if need.state == protocol.Cancelled {
+			g.setState(n, protocol.Cancelled, cmp.Or(need.cancelledWith, need.id), need.ended)
 			return
 		}
 	}
 }
 
-// countNeed updates the counters of a job for the current state of a job n that it needs.
-func (g *dependencyGraph) countNeed(l, n *node) {
-	if n.state == protocol.Done {
-		l.unmet--
-		if n.ended.After(l.ready) {
-			l.ready = n.ended
+// countNeed updates the counters of n for the current state of a job that it needs.
+func (g *dependencyGraph) countNeed(n, need *node) {
+	if need.state == protocol.Done {
+		n.unmet--
+		if need.ended.After(n.ready) {
+			n.ready = need.ended
 		}
 	}
-	g.changed[l] = true
+	g.changed[n] = true
 }
 
 // setState sets the state of a job and propagates it to the jobs that name it. Final states never change.
-func (g *dependencyGraph) setState(l *node, state, root string, ended time.Time) {
+func (g *dependencyGraph) setState(n *node, state, cancelledWith string, ended time.Time) {
 	type step struct {
-		l           *node
-		state, root string
-		ended       time.Time
+		n                    *node
+		state, cancelledWith string
+		ended                time.Time
 	}
-	for pending := []step{{l, state, root, ended}}; len(pending) > 0; {
+	for pending := []step{{n, state, cancelledWith, ended}}; len(pending) > 0; {
 		s := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		l, was := s.l, s.l.state
+		n, was := s.n, s.n.state
 		if final(was) || was == s.state {
 			continue
 		}
-		l.state, l.ended = s.state, s.ended
-		if l.state == protocol.Cancelled {
-			l.cancelledWith = cmp.Or(s.root, l.id)
+		n.state, n.ended = s.state, s.ended
+		if n.state == protocol.Cancelled {
+			n.cancelledWith = cmp.Or(s.cancelledWith, n.id)
 		}
-		g.changed[l] = true
-		for a := range l.dependents {
+		g.changed[n] = true
+		for dependent := range n.dependents {
 			if was == stateUnknown {
-				a.unknown--
+				dependent.unknown--
 			}
-			g.countNeed(a, l)
-			if l.state == protocol.Cancelled {
-				pending = append(pending, step{a, protocol.Cancelled, l.cancelledWith, l.ended})
+			g.countNeed(dependent, n)
+			if n.state == protocol.Cancelled {
+				pending = append(pending, step{dependent, protocol.Cancelled, n.cancelledWith, n.ended})
 			}
 		}
-		if final(l.state) {
-			for _, n := range l.needs {
-				g.recomputeUrgency(n)
+		if final(n.state) {
+			for _, need := range n.needs {
+				g.recomputeUrgency(need)
 			}
 		}
 	}
@@ -241,20 +241,20 @@
 
 // disconnect unlinks a job whose record is final from the jobs that it named, and removes nodes that no other
 // job names any more.
-func (g *dependencyGraph) disconnect(l *node) {
-	for _, n := range l.needs {
-		delete(n.dependents, l)
-		g.changed[n] = true
-		g.removeIfUnused(n)
+func (g *dependencyGraph) disconnect(n *node) {
+	for _, need := range n.needs {
+		delete(need.dependents, n)
+		g.changed[need] = true
+		g.removeIfUnused(need)
 	}
-	l.needs = nil
-	g.removeIfUnused(l)
+	n.needs = nil
+	g.removeIfUnused(n)
 }
 
-func (g *dependencyGraph) removeIfUnused(l *node) {
-	if len(l.dependents) == 0 && (l.job == nil || final(l.job.RecordedState) || len(l.job.Spec.Needs) == 0) {
-		delete(g.nodes, l.id)
-		delete(g.unknown, l.id)
+func (g *dependencyGraph) removeIfUnused(n *node) {
+	if len(n.dependents) == 0 && (n.job == nil || final(n.job.RecordedState) || len(n.job.Spec.Needs) == 0) {
+		delete(g.nodes, n.id)
+		delete(g.unknown, n.id)
 	}
 }
 
@@ -264,11 +264,11 @@
 	return from.state == protocol.Pending && !final(to.state) && to.job != nil && to.job.Created < from.job.Created
 }
 
-// raisedBy returns u raised to what the urgency of the dependent a requires.
-func (u Urgency) raisedBy(a *node) Urgency {
-	u.Rank, u.Filler = max(u.Rank, a.urgency.Rank), u.Filler && a.urgency.Filler
-	if !a.urgency.Deadline.IsZero() {
-		if end := a.urgency.Deadline.Add(-expectedDuration(a.job)); u.Deadline.IsZero() || end.Before(u.Deadline) {
+// raisedBy returns u raised to what the urgency of a dependent requires.
+func (u Urgency) raisedBy(dependent *node) Urgency {
+	u.Rank, u.Filler = max(u.Rank, dependent.urgency.Rank), u.Filler && dependent.urgency.Filler
+	if !dependent.urgency.Deadline.IsZero() {
+		if end := dependent.urgency.Deadline.Add(-expectedDuration(dependent.job)); u.Deadline.IsZero() || end.Before(u.Deadline) {
 			u.Deadline = end
 		}
 	}
@@ -276,43 +276,43 @@
 }
 
 // effectiveUrgency is a job's own urgency, raised by the jobs that need it.
-func (g *dependencyGraph) effectiveUrgency(l *node) Urgency {
-	u := l.ownUrgency
-	for a := range l.dependents {
-		if propagates(a, l) {
-			u = u.raisedBy(a)
+func (g *dependencyGraph) effectiveUrgency(n *node) Urgency {
+	u := n.ownUrgency
+	for dependent := range n.dependents {
+		if propagates(dependent, n) {
+			u = u.raisedBy(dependent)
 		}
 	}
 	return u
 }
 
 // raiseNeeds propagates a job's urgency to all jobs that it needs, directly and indirectly.
-func (g *dependencyGraph) raiseNeeds(l *node) {
-	for pending := []*node{l}; len(pending) > 0; {
-		l := pending[len(pending)-1]
+func (g *dependencyGraph) raiseNeeds(n *node) {
+	for pending := []*node{n}; len(pending) > 0; {
+		n := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		for _, n := range l.needs {
-			if u := n.urgency.raisedBy(l); propagates(l, n) && u != n.urgency {
-				n.urgency = u
-				g.changed[n] = true
-				pending = append(pending, n)
+		for _, need := range n.needs {
+			if u := need.urgency.raisedBy(n); propagates(n, need) && u != need.urgency {
+				need.urgency = u
+				g.changed[need] = true
+				pending = append(pending, need)
 			}
 		}
 	}
 }
 
 // recomputeUrgency recomputes the urgency of a job, and of all that it needs, after a job that needs it ended.
-func (g *dependencyGraph) recomputeUrgency(l *node) {
-	for pending := []*node{l}; len(pending) > 0; {
-		l := pending[len(pending)-1]
+func (g *dependencyGraph) recomputeUrgency(n *node) {
+	for pending := []*node{n}; len(pending) > 0; {
+		n := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		if final(l.state) || l.job == nil {
+		if final(n.state) || n.job == nil {
 			continue
 		}
-		if u := g.effectiveUrgency(l); u != l.urgency {
-			l.urgency = u
-			g.changed[l] = true
-			pending = append(pending, l.needs...)
+		if u := g.effectiveUrgency(n); u != n.urgency {
+			n.urgency = u
+			g.changed[n] = true
+			pending = append(pending, n.needs...)
 		}
 	}
 }
@@ -321,33 +321,33 @@
 func (g *dependencyGraph) applyTo(j *Job) {
 	j.State = j.RecordedState
 	defer j.applyHold()
-	l := g.nodes[j.Spec.ID]
-	if l == nil {
+	n := g.nodes[j.Spec.ID]
+	if n == nil {
 		j.DependencyState = DependencyState{Ready: j.Accepted, Urgency: g.urgencyOf(j), CancelledWith: j.CancelledWith}
 		return
 	}
-	j.DependencyState = DependencyState{WaitingOn: l.unmet, NeedsUnknown: l.unknown > 0, Urgency: l.urgency, CancelledWith: l.cancelledWith, HasDependents: len(l.dependents) > 0}
-	if final(l.state) {
-		j.State = l.state
+	j.DependencyState = DependencyState{WaitingOn: n.unmet, NeedsUnknown: n.unknown > 0, Urgency: n.urgency, CancelledWith: n.cancelledWith, HasDependents: len(n.dependents) > 0}
+	if final(n.state) {
+		j.State = n.state
 	}
-	if l.cancelledWith == l.id {
+	if n.cancelledWith == n.id {
 		j.CancelledWith = ""
 	}
-	if l.unmet == 0 {
-		if j.Ready = j.Accepted; l.ready.After(j.Ready) {
-			j.Ready = l.ready
+	if n.unmet == 0 {
+		if j.Ready = j.Accepted; n.ready.After(j.Ready) {
+			j.Ready = n.ready
 		}
 	}
-	for _, n := range l.needs {
-		if n.state != protocol.Done && len(j.WaitsFor) < maxListedJobs {
-			j.WaitsFor = append(j.WaitsFor, n.id)
+	for _, need := range n.needs {
+		if need.state != protocol.Done && len(j.WaitsFor) < maxListedJobs {
+			j.WaitsFor = append(j.WaitsFor, need.id)
 		}
 	}
-	for a := range l.dependents {
+	for dependent := range n.dependents {
 		if len(j.NeededBy) == maxListedJobs {
 			break
 		}
-		j.NeededBy = append(j.NeededBy, a.id)
+		j.NeededBy = append(j.NeededBy, dependent.id)
 	}
 	slices.Sort(j.NeededBy)
 }
--- a/internal/bookkeeping/dependencies_test.go
+++ b/internal/bookkeeping/dependencies_test.go
@@ -17,7 +17,7 @@
 	notifications int
 }
 
-func (f *jobListener) JobChanged(j *Job) { f.jobs[j.Spec.ID] = j; f.notifications++ }
+func (l *jobListener) JobChanged(j *Job) { l.jobs[j.Spec.ID] = j; l.notifications++ }
 
 // replicaFixture applies job records to a replica.
 type replicaFixture struct {
@@ -64,11 +64,11 @@
 	f.write(j.endedRecord(state, "", baseTime.Add(after)))
 }
 
-func (f *replicaFixture) want(id, state string, waits int) *Job {
+func (f *replicaFixture) want(id, state string, waitingOn int) *Job {
 	f.t.Helper()
 	j := f.listener.jobs[id]
-	if j == nil || j.State != state || j.WaitingOn != waits {
-		f.t.Errorf("%s: %+v, want state %s, waiting on %d", id, j, state, waits)
+	if j == nil || j.State != state || j.WaitingOn != waitingOn {
+		f.t.Errorf("%s: %+v, want state %s, waiting on %d", id, j, state, waitingOn)
 	}
 	return j
 }
@@ -267,8 +267,8 @@
 	}
 	before := f.listener.notifications
 	f.end("wk-0", protocol.Done, 0)
-	if told := f.listener.notifications - before; told > 3 {
-		t.Errorf("%d jobs were published after one ended, want at most 3", told)
+	if published := f.listener.notifications - before; published > 3 {
+		t.Errorf("%d jobs were published after one ended, want at most 3", published)
 	}
 	f.end("wk-1", protocol.Cancelled, 0)
 	f.want(fmt.Sprintf("wk-%d", n), protocol.Cancelled, 1)
@@ -280,8 +280,8 @@
 	}
 	before = f.listener.notifications
 	f.end("wk-0", protocol.Done, 0)
-	if told := f.listener.notifications - before; told != n {
-		t.Errorf("%d jobs were published, want %d", told, n)
+	if published := f.listener.notifications - before; published != n {
+		t.Errorf("%d jobs were published, want %d", published, n)
 	}
 	f.want("wk-1234", protocol.Pending, 0)
 }
--- a/internal/bookkeeping/keys.go
+++ b/internal/bookkeeping/keys.go
@@ -195,8 +195,8 @@
 }
 
 // SameOwners reports whether every task has the same owner in both windows.
-func (w *Window) SameOwners(o *Window) bool {
-	return slices.Equal(w.Owners, o.Owners) && w.BlockOwners == o.BlockOwners && w.OwnPositions == o.OwnPositions
+func (w *Window) SameOwners(other *Window) bool {
+	return slices.Equal(w.Owners, other.Owners) && w.BlockOwners == other.BlockOwners && w.OwnPositions == other.OwnPositions
 }
 
 // Machine is a rented machine in the registry. It is registered before the first task starts on it, and
