--- a/internal/bookkeeping/production_test.go
+++ b/internal/bookkeeping/production_test.go
@@ -67,11 +67,11 @@
 	catalog *protocol.Catalog
 }
 
-func (e *recordingListener) SlotChanged(slot int, s *Slot)        { e.slots[slot] = s }
-func (e *recordingListener) MemberChanged(name string, m *Member) { e.members[name] = m }
-func (e *recordingListener) WindowChanged(w *Window)              { e.window = w }
+func (l *recordingListener) SlotChanged(slot int, s *Slot)        { l.slots[slot] = s }
+func (l *recordingListener) MemberChanged(name string, m *Member) { l.members[name] = m }
+func (l *recordingListener) WindowChanged(w *Window)              { l.window = w }
 func (e *recordingListener) LeaderChanged(l *Leader)              { e.leader = l }
-func (e *recordingListener) CatalogChanged(c *protocol.Catalog)   { e.catalog = c }
+func (l *recordingListener) CatalogChanged(c *protocol.Catalog)   { l.catalog = c }
 func newRecordingListener() *recordingListener {
 	return &recordingListener{jobListener: jobListener{machineListener: machineListener{machines: map[string]bool{}}, jobs: map[string]*Job{}}, slots: map[int]*Slot{}, members: map[string]*Member{}}
 }
