--- a/internal/bookkeeping/production_test.go
+++ b/internal/bookkeeping/production_test.go
@@ -70,7 +70,7 @@
 func (l *recordingListener) SlotChanged(slot int, s *Slot)        { l.slots[slot] = s }
 func (l *recordingListener) MemberChanged(name string, m *Member) { l.members[name] = m }
 func (l *recordingListener) WindowChanged(w *Window)              { l.window = w }
-func (e *recordingListener) LeaderChanged(l *Leader)              { e.leader = l }
+func (l *recordingListener) LeaderChanged(leader *Leader)         { l.leader = leader }
 func (l *recordingListener) CatalogChanged(c *protocol.Catalog)   { l.catalog = c }
 func newRecordingListener() *recordingListener {
 	return &recordingListener{jobListener: jobListener{machineListener: machineListener{machines: map[string]bool{}}, jobs: map[string]*Job{}}, slots: map[int]*Slot{}, members: map[string]*Member{}}
