--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -106,7 +106,7 @@
 	switch {
 	case j == nil || h.isJobOver(j.Spec.ID) || index >= j.Spec.Tasks || j.TaskDone(index):
 		return "not to be run"
-	case j.Waits > 0:
+	case j.WaitingOn > 0:
 		return "waits for other jobs" // a job counts as unfinished until it is known to be done
 	case h.window.OwnerOf(j, index) != caller:
 		return "not the owner"
--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -107,7 +107,7 @@
 // acceptsAnnouncements reports whether a sibling has a session and its version supports announcements.
 func (h *Holder) acceptsAnnouncements(sibling string) bool {
 	m := h.members[sibling]
-	return m != nil && m.Generation >= bookkeeping.GenerationAnnounced
+	return m != nil && m.Generation >= bookkeeping.GenerationCancelNotices
 }
 
 // announcementTargets returns the siblings to which cancellations are announced.
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -89,7 +89,7 @@
 		if !h.mayTellUser("wk-1") {
 			t.Error("the user was not told although c2 no longer has a session")
 		}
-		h.memberChanged("c2", &bookkeeping.Member{Generation: bookkeeping.GenerationLonger})
+		h.memberChanged("c2", &bookkeeping.Member{Generation: bookkeeping.GenerationLongPromises})
 		if !h.mayTellUser("wk-2") {
 			t.Error("the user was not told although c2 is of the previous version")
 		}
--- a/internal/coordination/cancelled_test.go
+++ b/internal/coordination/cancelled_test.go
@@ -218,7 +218,7 @@
 	for id, at := range w.toldAt {
 		if !at.After(w.recordsAsOf) {
 			cancelled := pendingJob(id)
-			cancelled.Record, cancelled.State = protocol.Cancelled, protocol.Cancelled
+			cancelled.RecordedState, cancelled.State = protocol.Cancelled, protocol.Cancelled
 			w.holder.jobChanged(cancelled)
 		}
 	}
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -170,7 +170,7 @@
 	rates, waitingForImage := o.completionRates(now), map[string]int{}
 	limits := o.remainingTeamLimits()
 	for _, js := range o.activeJobsByUrgency() {
-		if js.job.Waits > 0 || js.opinion == placement.AtFault {
+		if js.job.WaitingOn > 0 || js.opinion == placement.AtFault {
 			continue // no capacity is kept from other work for a job that is expected to fail
 		}
 		s := js.job.Spec
@@ -227,7 +227,7 @@
 	}
 	left := map[string]int{}
 	for _, z := range o.cfg.Deployment.Zones {
-		left[z] = s.ZoneShare() - zones[z]
+		left[z] = s.MaxPerZone() - zones[z]
 		if s.OneZone && len(zones) > 0 && zones[z] == 0 {
 			left[z] = 0
 		}
@@ -303,8 +303,8 @@
 func (o *Owner) targetFinish(js *jobState) time.Time {
 	j := js.job
 	target := j.Ready.Add(o.objective(j.Spec.Class, "finished", 0))
-	if !j.End.IsZero() && (target.Equal(j.Ready) || j.Needed && j.End.Before(target)) {
-		return j.End
+	if !j.Deadline.IsZero() && (target.Equal(j.Ready) || j.HasDependents && j.Deadline.Before(target)) {
+		return j.Deadline
 	}
 	return target
 }
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -243,7 +243,7 @@
 		if member == nil || member.Generation < bookkeeping.GenerationPromises {
 			supported = false
 		}
-		if member == nil || member.Generation < bookkeeping.GenerationLonger {
+		if member == nil || member.Generation < bookkeeping.GenerationLongPromises {
 			duration = membership.LegacyMoratoriumDuration
 		}
 	}
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -197,13 +197,13 @@
 	} else {
 		delete(o.unarchived, id)
 	}
-	if j.Waits == 0 && js.readyAt.IsZero() && !j.Final() {
+	if j.WaitingOn == 0 && js.readyAt.IsZero() && !j.Final() {
 		js.readyAt = now
 		o.countArrival(js)
 	}
 	if j.Final() && o.active[id] != nil {
-		if j.With != "" && js.gainWindow != 0 {
-			slog.Info("cancelled with another", "job", id, "with", j.With)
+		if j.CancelledWith != "" && js.gainWindow != 0 {
+			slog.Info("cancelled with another", "job", id, "with", j.CancelledWith)
 		}
 		delete(o.active, id)
 		delete(o.unresolved, id)
@@ -313,7 +313,7 @@
 	var ready []*jobState
 	var outcomes []bookkeeping.Outcome
 	for _, js := range o.active {
-		if len(js.shares) == 0 || js.job.Waits > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
+		if len(js.shares) == 0 || js.job.WaitingOn > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
 			continue // thousands of jobs may wait for others
 		}
 		if js.stale || now.Sub(js.reconciledAt) >= reconcileInterval {
@@ -325,7 +325,7 @@
 				}
 			}
 		}
-		if js.missing > 0 && js.job.Waits == 0 && !now.Before(js.blockedUntil) && !o.isKnownUnmet(js, now) && o.trialAllowed(js, now) {
+		if js.missing > 0 && js.job.WaitingOn == 0 && !now.Before(js.blockedUntil) && !o.isKnownUnmet(js, now) && o.trialAllowed(js, now) {
 			ready = append(ready, js)
 		}
 	}
@@ -362,7 +362,7 @@
 // startDeadline orders jobs of one priority: the latest start that meets the job's end, or a minute after the
 // job was ready if it has none.
 func (o *Owner) startDeadline(js *jobState) time.Time {
-	if end := js.job.End; !end.IsZero() {
+	if end := js.job.Deadline; !end.IsZero() {
 		return end.Add(-js.job.Spec.Estimate())
 	}
 	return js.job.Ready.Add(time.Minute)
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -296,7 +296,7 @@
 	if o.wantedImageSet == nil || now.Sub(o.wantedImagesAt) >= time.Second {
 		o.wantedImageSet, o.wantedImagesAt = map[string]bool{}, now
 		for id, js := range o.active {
-			if s := js.job.Spec; js.job.Waits == 0 && !o.wantedImageSet[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
+			if s := js.job.Spec; js.job.WaitingOn == 0 && !o.wantedImageSet[s.Image] && len(o.board.Tasks[id]) < s.Tasks && len(o.board.Tasks[id])+js.job.DoneCount() < s.Tasks {
 				o.wantedImageSet[s.Image] = true
 			}
 		}
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -17,12 +17,12 @@
 // may use (invariant 7). A job that uses no such resource needs no grant and is placed by its id: when such
 // jobs stood at the position of their team too and every team had a GPU limit, all work stood at six
 // positions, including work without GPUs.
-func SeatFor(c *config.Config, s *protocol.JobSpec) bookkeeping.Seat {
+func SeatFor(c *config.Config, s *protocol.JobSpec) bookkeeping.RingPosition {
 	t, teamToken := c.Team(s.Team), protocol.RingToken(s.Team)
 	if t != nil && t.Limits(s.Need()) {
-		return bookkeeping.Seat{Token: teamToken, Blocks: 1}
+		return bookkeeping.RingPosition{Token: teamToken, Blocks: 1}
 	}
-	return bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s), Joint: t != nil && t.Limited(), JointToken: teamToken}
+	return bookkeeping.RingPosition{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlockCount(s), TeamFallback: t != nil && t.Limited(), TeamToken: teamToken}
 }
 
 // ownership is a period during which this controller owns blocks of a job without interruption.
@@ -125,7 +125,7 @@
 	changed := false
 	for block := range max(1, js.job.Blocks) {
 		gain := o.unbrokenSince(func(w *bookkeeping.Window) bool { return w.OwnerOfBlock(js.job, block) == o.cfg.Name })
-		first, end := js.job.Block(block)
+		first, end := js.job.BlockRange(block)
 		old := js.ownedBlockOf(first)
 		switch {
 		case gain == 0:
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -61,7 +61,7 @@
 	var jobs []*bookkeeping.Job
 	for _, j := range o.unarchived {
 		// A job that unfinished jobs need stays where a starting controller reads it.
-		if o.window().OwnerOfBlock(j, 0) == o.cfg.Name && !j.Needed {
+		if o.window().OwnerOfBlock(j, 0) == o.cfg.Name && !j.HasDependents {
 			if jobs = append(jobs, j); len(jobs) == archiveBatchSize {
 				break
 			}
@@ -105,7 +105,7 @@
 	if len(outcomes) == 0 || *busy {
 		return
 	}
-	outcomes = outcomes[:min(len(outcomes), o.store.MostOutcomes())]
+	outcomes = outcomes[:min(len(outcomes), o.store.MaxOutcomes())]
 	for _, out := range outcomes {
 		o.active[out.Job.Spec.ID].recordedAt = time.Now()
 	}
@@ -190,7 +190,7 @@
 // must all be told.
 func (o *Owner) saveOnLeavingMachines(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
-	if !s.Saves() {
+	if !s.Checkpoints() {
 		return
 	}
 	for index, list := range o.board.Tasks[s.ID] {
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -80,7 +80,7 @@
 		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, startToken: protocol.NewToken(7, w.tokenSeq)}
 		inFlight := protocol.NewToken(7, w.tokenSeq)
 		cancelled := *h.jobs["wk-1"]
-		cancelled.Record, cancelled.State = protocol.Cancelled, protocol.Cancelled
+		cancelled.RecordedState, cancelled.State = protocol.Cancelled, protocol.Cancelled
 		h.jobChanged(&cancelled)
 		h.observeCancellationReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumDuration)
 		status, body := h.Report(runningReport(6, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -33,8 +33,8 @@
 		reachable = owners
 	}
 	assignment, moved := assign(cur, names, reachable, load)
-	w := &bookkeeping.Window{Number: 1, StartMs: now.UnixMilli(), Owners: owners, Assignment: assignment, Moved: moved, Divided: allSupport(members, names, bookkeeping.GenerationBlocks, cur != nil && cur.Divided),
-		Apart: allSupport(members, names, bookkeeping.GenerationApart, cur != nil && cur.Apart)}
+	w := &bookkeeping.Window{Number: 1, StartMs: now.UnixMilli(), Owners: owners, Assignment: assignment, Moved: moved, BlockOwners: allSupport(members, names, bookkeeping.GenerationBlocks, cur != nil && cur.BlockOwners),
+		OwnPositions: allSupport(members, names, bookkeeping.GenerationOwnPositions, cur != nil && cur.OwnPositions)}
 	if cur == nil {
 		return w
 	}
