--- a/cmd/daledyke/qstat.go
+++ b/cmd/daledyke/qstat.go
@@ -110,7 +110,7 @@
 	var views []protocol.JobView
 	var err error
 	if len(args) > 0 {
-		err = eachJob(cmd, o, args, func(u *transport.Users, id string) error {
+		err = eachJob(cmd, o, args, func(u *transport.UserClient, id string) error {
 			v, err := u.View(contextOf(cmd), id)
 			if err == nil {
 				views = append(views, v)
--- a/cmd/daledyke/qsub.go
+++ b/cmd/daledyke/qsub.go
@@ -55,8 +55,8 @@
 }
 
 // users is a client of the front doors that the options or the environment name.
-func (o *pbsOptions) users() (*transport.Users, error) {
-	doors := transport.Doors(cmp.Or(o.address, os.Getenv(doorsVariable)))
+func (o *pbsOptions) users() (*transport.UserClient, error) {
+	doors := transport.SplitAddresses(cmp.Or(o.address, os.Getenv(doorsVariable)))
 	if len(doors) == 0 && o.platform != "" {
 		c, err := config.Load(o.platform, "")
 		if err != nil {
@@ -67,7 +67,7 @@
 	if len(doors) == 0 {
 		return nil, fmt.Errorf("no controller is named: give --address HOST:PORT,... or --config FILE, or set %s", doorsVariable)
 	}
-	return transport.NewUsers(transport.NetDialer(), doors), nil
+	return transport.NewUserClient(transport.NetDialer(), doors), nil
 }
 
 // pbsCommand makes one of PBS's commands.
@@ -253,7 +253,7 @@
 	return pbsCommand("qdel [--address HOST:PORT,...] JOB...", "Cancels jobs by their PBS names",
 		"qdel cancels jobs: 412.daledyke, 412, or 412[] of an array."+doorsHelp,
 		func(cmd *cobra.Command, o *pbsOptions, args []string) error {
-			return eachJob(cmd, o, args, func(u *transport.Users, id string) error {
+			return eachJob(cmd, o, args, func(u *transport.UserClient, id string) error {
 				st, err := u.Cancel(contextOf(cmd), id)
 				if err == nil && st.Status == protocol.Done {
 					err = fmt.Errorf("%w (done)", errFinished)
@@ -266,7 +266,7 @@
 // holdCommand makes qhold or qrls.
 func holdCommand(name, short, long string, held bool) *cobra.Command {
 	return pbsCommand(name+" [--address HOST:PORT,...] JOB...", short, long+doorsHelp, func(cmd *cobra.Command, o *pbsOptions, args []string) error {
-		return eachJob(cmd, o, args, func(u *transport.Users, id string) error {
+		return eachJob(cmd, o, args, func(u *transport.UserClient, id string) error {
 			a, err := u.Hold(contextOf(cmd), id, held)
 			switch {
 			case err != nil:
@@ -288,7 +288,7 @@
 }
 
 // eachJob does something for each job named; all are tried, and what failed is told.
-func eachJob(cmd *cobra.Command, o *pbsOptions, args []string, do func(u *transport.Users, id string) error) error {
+func eachJob(cmd *cobra.Command, o *pbsOptions, args []string, do func(u *transport.UserClient, id string) error) error {
 	if len(args) == 0 {
 		return errors.New("no job is named")
 	}
@@ -317,7 +317,7 @@
 				return errors.New("only -h u and -h n can be altered; for anything else cancel the job (qdel) and submit it again (qsub)")
 			}
 			held := args[1] == "u"
-			return eachJob(cmd, o, args[2:], func(u *transport.Users, id string) error {
+			return eachJob(cmd, o, args[2:], func(u *transport.UserClient, id string) error {
 				_, err := u.Hold(contextOf(cmd), id, held)
 				return err
 			})
--- a/cmd/daledyke/status.go
+++ b/cmd/daledyke/status.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			o := transport.NewOperators(transport.NetDialer(), at)
+			o := transport.NewOperatorClient(transport.NetDialer(), at)
 			out := cmd.OutOrStdout()
 			if len(args) == 1 {
 				v, err := o.Job(cmd.Context(), args[0])
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -72,7 +72,7 @@
 	k := &Controller{cfg: c, started: time.Now(), state: state, store: bookkeeping.NewStore(state, d.State.TxnOps, c.ValueBytes())}
 	k.session = NewSession(c, k.store, func() { k.holder.ask(ctx, k.holder.dropAllSlots) })
 	k.holder = NewHolder(ctx, c, k.session, k.store, transport.NewWorkers(dial, c.ToWorkers()))
-	k.holder.stateLastServed = k.state.Counts.Served
+	k.holder.stateLastServed = k.state.Counts.LastServed
 	holders := map[string]HolderCaller{c.Name: local{HolderRPC{k.holder}}}
 	lenders := map[string]LendCaller{}
 	for _, s := range c.Siblings {
@@ -148,9 +148,9 @@
 	}
 	alone := len(k.cfg.Siblings) > 0 && !k.owner.siblingHeard.Load()
 	switch now := time.Now(); {
-	case alone && now.Sub(k.state.Counts.Answered()) > silentFor:
+	case alone && now.Sub(k.state.Counts.LastAnswered()) > silentFor:
 		return false
-	case time.UnixMilli(k.owner.siblingServedMs.Load()).Sub(k.state.Counts.Served()) > refusedFor:
+	case time.UnixMilli(k.owner.siblingServedMs.Load()).Sub(k.state.Counts.LastServed()) > refusedFor:
 		return false
 	}
 	return k.session.Valid() || !k.owner.siblingSessionValid.Load()
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -21,7 +21,7 @@
 	for _, n := range w.names {
 		doors = append(doors, "front-"+n+":1")
 	}
-	return transport.NewUsers(w.net.Dialer("user"), doors).SubmitScript(w.t.Context(), key, options, script)
+	return transport.NewUserClient(w.net.Dialer("user"), doors).SubmitScript(w.t.Context(), key, options, script)
 }
 
 // know has workers know what a script's job is.
@@ -65,7 +65,7 @@
 		if err := w.expect(id, []string{"starts", "3"}); err != nil {
 			t.Error(err)
 		}
-		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c2:1"})
+		users := transport.NewUserClient(w.net.Dialer("user"), []string{"front-c2:1"})
 		if status, got := w.raw(http.MethodGet, "front-c2/v1/jobs/"+id+"/script", "", nil); status != 200 || got != script {
 			t.Errorf("the script is %q, answer %d", got, status)
 		}
@@ -111,7 +111,7 @@
 		if _, err := w.qsub("held", "", script); err != nil {
 			t.Fatal(err)
 		}
-		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c1:1", "front-c2:1"})
+		users := transport.NewUserClient(w.net.Dialer("user"), []string{"front-c1:1", "front-c2:1"})
 		started := func() (n int) {
 			w.em.Rules(func(r *history.Checker) { n = r.Starts(id) })
 			return n
@@ -195,7 +195,7 @@
 		if _, err := w.qsub("later", options, script); err != nil {
 			t.Fatal(err)
 		}
-		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c1:1"})
+		users := transport.NewUserClient(w.net.Dialer("user"), []string{"front-c1:1"})
 		time.Sleep(100 * time.Second)
 		if v, err := users.View(t.Context(), id); err != nil || v.Reason != protocol.ReasonTime || v.StartsInS == nil || *v.StartsInS < 15 || *v.StartsInS > 25 {
 			t.Errorf("%+v, %v", v, err)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -192,7 +192,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	again = time.Duration((1 + 0.5*u.rng.Float64()) * float64(time.Second))
-	code, asked, raw, err := transport.Once(ctx, u.http, method, "http://daledyke"+path, nil, body)
+	code, asked, raw, err := transport.RequestOnce(ctx, u.http, method, "http://daledyke"+path, nil, body)
 	if err != nil {
 		return 0, "", again
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -1,6 +1,6 @@
-// Package transport carries messages: clients of the state service, the cloud
-// and the workers, the listeners for users and workers, and net/rpc between
-// the controllers. Every call is bounded in time and in rate.
+// Package transport holds the network clients and servers of a controller: clients of the state service,
+// the cloud and the workers, the HTTP server for users and workers, and net/rpc between controllers. Every
+// call has a timeout, and calls to the shared services have a rate limit.
 package transport
 
 import (
@@ -18,32 +18,32 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrRefused says that the other side answered that it did not do it.
+// ErrRefused means that the request was not executed: the other side said so, or it was never sent.
 var ErrRefused = errors.New("refused, not executed")
 
-// ErrUnknown says that no answer came: the request may have been done, or may yet be done later.
+// ErrUnknown means that no valid response arrived: the request may have been executed, or may still be
+// executed later.
 var ErrUnknown = errors.New("no answer, outcome unknown")
 
-// ErrInvalid says that the other side calls the request malformed; it will never be
-// carried out as it is.
+// ErrInvalid means that the other side rejected the request as malformed, so a retry can't succeed.
 var ErrInvalid = errors.New("refused as malformed")
 
-// Counts are what a client's requests came to. They may be read at any time.
+// Counts holds a client's request counters by outcome. It is safe for concurrent use.
 type Counts struct {
 	Requests, Refused, Unanswered, NoBudget atomic.Int64
-	// answered and served are when a request was last answered, and when other than that it
-	// was refused, by the milliseconds.
+	// answered is when the last response arrived, served when the last response other than a refusal
+	// arrived, both in Unix milliseconds.
 	answered, served atomic.Int64
 }
 
-// Answered is when a request was last answered, in whatever way.
-func (c *Counts) Answered() time.Time { return time.UnixMilli(c.answered.Load()) }
+// LastAnswered is when the last response arrived, whatever its outcome.
+func (c *Counts) LastAnswered() time.Time { return time.UnixMilli(c.answered.Load()) }
 
-// Served is when a request was last answered other than that it was refused.
-func (c *Counts) Served() time.Time { return time.UnixMilli(c.served.Load()) }
+// LastServed is when the last response other than a refusal arrived.
+func (c *Counts) LastServed() time.Time { return time.UnixMilli(c.served.Load()) }
 
-// note counts a request by how it ended.
-func (c *Counts) note(err error) {
+// record counts a request by its outcome.
+func (c *Counts) record(err error) {
 	c.Requests.Add(1)
 	now := time.Now().UnixMilli()
 	switch {
@@ -58,10 +58,10 @@
 	}
 }
 
-// Dialer opens connections; tests put in-memory pipes in its place.
+// Dialer opens connections; tests replace it by in-memory pipes.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// NetDialer dials TCP with a bounded wait.
+// NetDialer dials TCP with a timeout.
 func NetDialer() Dialer {
 	d := &net.Dialer{Timeout: 1500 * time.Millisecond, KeepAlive: -1}
 	return d.DialContext
@@ -75,87 +75,86 @@
 	}
 }
 
-// maxAnswer bounds what is read of any answer.
-const maxAnswer = 16 << 20
+// maxResponseBytes bounds how much of a response body is read.
+const maxResponseBytes = 16 << 20
 
-// Call makes one request, with body as JSON if it is not nil. A nil error means that an
-// answer came whole.
+// Call makes one request, with body encoded as JSON if it is not nil. A nil error means that a complete
+// response arrived.
 func Call(ctx context.Context, c *http.Client, method, url string, body any) (int, []byte, error) {
-	var rd io.Reader
+	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			return 0, nil, err
 		}
-		rd = bytes.NewReader(raw)
+		reader = bytes.NewReader(raw)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, rd)
+	req, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
 		return 0, nil, err
 	}
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
-		// net/http would send the request again on a stale connection only
-		// for methods that may be repeated; POST is left alone.
+		// net/http retries on a stale connection only for idempotent methods, so a POST is sent once.
 	}
 	resp, err := c.Do(req)
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %v", ErrUnknown, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %v", ErrUnknown, err)
 	}
 	return resp.StatusCode, raw, nil
 }
 
-// Urgency of a request among those that share a budget.
+// Urgency ranks requests that share a rate budget.
 type Urgency int
 
 const (
-	// Deferred requests may wait for as long as there is something better to do.
+	// Deferred requests may wait while more urgent ones use the budget.
 	Deferred Urgency = iota
+	// Ordinary requests use at most 70 % of the rate.
 	Ordinary
+	// Urgent requests may use the whole rate, and more than this controller's share after a shortage.
 	Urgent
-	// Vital requests are few, and all else depends on them.
+	// Vital requests are few and everything else depends on them, for example lease renewals.
 	Vital
 )
 
-// budget shares a rate: the less urgent a request, the smaller the part of
-// the rate that it may use. Urgent requests never queue behind others: a large
-// transaction of results would hold a user's submission up for a second. All
-// together may so ask for more than the share of one controller, of which the
-// others seldom use all; what is too much is refused and not executed. When it
-// is, the deferred ones give way for a moment.
-type budget struct {
+// rateBudget divides a rate by urgency: the less urgent a request, the smaller the part of the rate that it
+// may use. Each urgency has a limiter of its own, so that urgent requests never queue behind others: a large
+// transaction of results would delay a user's submission by a second. The limiters together may exceed this
+// controller's share, since the other controllers seldom use all of theirs; the service refuses the excess
+// without executing it. After such a refusal, deferred requests are throttled for a moment.
+type rateBudget struct {
 	tiers [Vital + 1]*rate.Limiter
-	// share is this controller's part of the rate.
+	// share is this controller's part of the service's rate, in requests a second.
 	share float64
-	// pressed is until when deferred requests give way, raised when urgent ones
-	// were last given more than their share, both by the milliseconds.
-	pressed, raised atomic.Int64
+	// throttledUntilMs is until when deferred requests are throttled, raisedAtMs when the limit of urgent
+	// requests was last raised, both in Unix milliseconds.
+	throttledUntilMs, raisedAtMs atomic.Int64
 }
 
-// Urgent requests that find no budget get more than their share as long as
-// nothing is refused: after many controllers ended at once, those that are back
-// first have all the users. It grows by raiseBy every raiseEvery, up to
-// mostShares, and falls back at the first refusal.
+// While nothing is refused, a shortage raises the limit of urgent requests above the share: after many
+// controllers have failed at once, those that return first serve all users. The limit grows by raiseFactor
+// every raiseInterval, up to maxShares, and falls back to the share at the first refusal.
 const (
-	raiseBy    = 1.2
-	raiseEvery = 100 * time.Millisecond
-	mostShares = 4
+	raiseFactor   = 1.2
+	raiseInterval = 100 * time.Millisecond
+	maxShares     = 4
 )
 
-// pressedFor is for how long a refusal for the rate has deferred requests give
-// way, and pressedCost how many times they pay then.
+// throttleTime is for how long deferred requests are throttled after a refusal for the rate;
+// throttledCostFactor multiplies their cost meanwhile.
 const (
-	pressedFor  = time.Second
-	pressedCost = 3
+	throttleTime        = time.Second
+	throttledCostFactor = 3
 )
 
-func newBudget(perSecond float64) *budget {
-	b := &budget{share: perSecond}
+func newRateBudget(perSecond float64) *rateBudget {
+	b := &rateBudget{share: perSecond}
 	for i, part := range [Vital + 1]float64{0.25, 0.7, 1, 1} {
 		r := perSecond * part
 		b.tiers[i] = rate.NewLimiter(rate.Limit(r), max(1, int(r)))
@@ -163,36 +162,36 @@
 	return b
 }
 
-// refused notes that the other side refused a request for the rate.
-func (b *budget) refused() {
-	b.pressed.Store(time.Now().Add(pressedFor).UnixMilli())
-	b.allow(b.share)
+// recordRefusal throttles deferred requests and resets the urgent limit after a refusal for the rate.
+func (b *rateBudget) recordRefusal() {
+	b.throttledUntilMs.Store(time.Now().Add(throttleTime).UnixMilli())
+	b.setUrgentRate(b.share)
 }
 
-func (b *budget) allow(perSecond float64) {
+func (b *rateBudget) setUrgentRate(perSecond float64) {
 	b.tiers[Urgent].SetLimit(rate.Limit(perSecond))
 	b.tiers[Urgent].SetBurst(max(1, int(perSecond)))
 }
 
-// starved notes that an urgent request found no budget.
-func (b *budget) starved() {
-	now, last := time.Now().UnixMilli(), b.raised.Load()
-	if now >= b.pressed.Load() && now-last >= raiseEvery.Milliseconds() && b.raised.CompareAndSwap(last, now) {
-		b.allow(min(float64(b.tiers[Urgent].Limit())*raiseBy, b.share*mostShares))
+// recordShortage raises the urgent limit after an urgent request found no budget.
+func (b *rateBudget) recordShortage() {
+	now, last := time.Now().UnixMilli(), b.raisedAtMs.Load()
+	if now >= b.throttledUntilMs.Load() && now-last >= raiseInterval.Milliseconds() && b.raisedAtMs.CompareAndSwap(last, now) {
+		b.setUrgentRate(min(float64(b.tiers[Urgent].Limit())*raiseFactor, b.share*maxShares))
 	}
 }
 
-// wait blocks until n requests of this urgency fit, or ctx ends. All of them are
-// charged, also where a small share has a smaller burst than a transaction has
-// changes: together the controllers would overdraw the rate.
-func (b *budget) wait(ctx context.Context, u Urgency, n int) error {
-	if u == Deferred && time.Now().UnixMilli() < b.pressed.Load() {
-		n *= pressedCost
+// wait blocks until the budget admits n requests of this urgency, or ctx ends. All n are charged even where a
+// small share's burst is below the number of changes in a transaction; otherwise the controllers together
+// would exceed the rate.
+func (b *rateBudget) wait(ctx context.Context, u Urgency, n int) error {
+	if u == Deferred && time.Now().UnixMilli() < b.throttledUntilMs.Load() {
+		n *= throttledCostFactor
 	}
 	for l := b.tiers[u]; n > 0; n -= l.Burst() {
 		if l.WaitN(ctx, min(n, l.Burst())) != nil {
 			if u == Urgent {
-				b.starved()
+				b.recordShortage()
 			}
 			return fmt.Errorf("%w: no budget in time", ErrRefused)
 		}
--- a/internal/transport/cloud.go
+++ b/internal/transport/cloud.go
@@ -11,21 +11,21 @@
 	"daledyke/internal/protocol"
 )
 
-// ErrNoCapacity says that the cloud has none of what was asked for.
+// ErrNoCapacity means that the cloud has no machines of the requested kind.
 var ErrNoCapacity = errors.New("no capacity")
 
-// Cloud is the client of the cloud's interface.
+// Cloud is the client of the cloud's API.
 type Cloud struct {
 	http   *http.Client
 	base   string
-	budget *budget
-	// Counts are what the requests came to.
+	budget *rateBudget
+	// Counts counts the requests by outcome.
 	Counts Counts
 }
 
-// NewCloud makes a client that uses a share of the cloud's budget.
+// NewCloud makes a client that sends at most rps requests a second, its share of the cloud's rate.
 func NewCloud(dial Dialer, addr string, rps float64) *Cloud {
-	return &Cloud{http: newHTTPClient(dial, 8, time.Minute), base: "http://" + addr, budget: newBudget(rps)}
+	return &Cloud{http: newHTTPClient(dial, 8, time.Minute), base: "http://" + addr, budget: newRateBudget(rps)}
 }
 
 func (c *Cloud) call(ctx context.Context, u Urgency, method, path string, body, into any) error {
@@ -36,7 +36,7 @@
 		return err
 	}
 	raw, err := c.request(ctx, method, path, body)
-	c.Counts.note(err)
+	c.Counts.record(err)
 	if err != nil || into == nil {
 		return err
 	}
@@ -57,24 +57,24 @@
 	return nil, fmt.Errorf("%w: cloud answers %d %.80s", ErrRefused, code, raw)
 }
 
-// Catalog reads the machine types and their current prices.
+// Catalog fetches the machine types and their current prices.
 func (c *Cloud) Catalog(ctx context.Context) (cat protocol.Catalog, err error) {
 	err = c.call(ctx, Urgent, http.MethodGet, "/catalog", nil, &cat)
 	return cat, err
 }
 
-// Rent asks for machines.
+// Rent requests machines.
 func (c *Cloud) Rent(ctx context.Context, r protocol.RentRequest) (names protocol.MachineNames, err error) {
 	err = c.call(ctx, Urgent, http.MethodPost, "/rentals", r, &names)
 	return names, err
 }
 
-// Return gives machines back; once it succeeds they are gone.
+// Return gives machines back; after success they no longer exist.
 func (c *Cloud) Return(ctx context.Context, names []string) error {
 	return c.call(ctx, Urgent, http.MethodPost, "/rentals/return", protocol.MachineNames{Machines: names}, nil)
 }
 
-// List reads a page of the machine list.
+// List fetches a page of the machine list, starting at from.
 func (c *Cloud) List(ctx context.Context, from string) (l protocol.MachineList, err error) {
 	path := "/rentals?limit=500"
 	if from != "" {
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -20,7 +20,7 @@
 	"daledyke/internal/schema"
 )
 
-// Service is what the front door needs of a controller.
+// Service is what the HTTP server for users and workers requires of a controller.
 type Service interface {
 	Healthy() bool
 	Submit(ctx context.Context, body []byte) (status int, answer any)
@@ -35,28 +35,28 @@
 	Hold(ctx context.Context, id string, held bool) (status int, answer any)
 }
 
-// answerWithin bounds how long a user's request may take here.
-const answerWithin = 4 * time.Second
+// requestTimeout bounds the processing time of a user's request.
+const requestTimeout = 4 * time.Second
 
 type front struct {
-	s Service
-	// crowded tells whether so many connections are open that workers' are not kept.
+	service Service
+	// crowded reports whether too many connections are open to keep those of workers alive.
 	crowded func() bool
 }
 
-// Front is the handler for users, workers and health checks. crowded tells whether so many
-// connections are open that workers' are closed with the answer.
+// Front is the HTTP handler for users, workers and health checks. While crowded reports that too many
+// connections are open, those of workers are closed after each response.
 func Front(s Service, crowded func() bool) http.Handler {
 	f := front{s, crowded}
 	r := httprouter.New()
 	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
 	r.GET("/healthz", f.health)
 	r.POST("/v1/jobs", f.submit)
-	r.GET("/v1/jobs/:id", aboutJob(f.status))
-	r.POST("/v1/jobs/:id/cancel", aboutJob(s.Cancel))
+	r.GET("/v1/jobs/:id", withJobID(f.status))
+	r.POST("/v1/jobs/:id/cancel", withJobID(s.Cancel))
 	r.GET("/v1/jobs/:id/script", f.script)
 	for path, held := range map[string]bool{pathHold: true, pathRelease: false} {
-		r.POST("/v1/jobs/:id"+path, aboutJob(func(ctx context.Context, id string) (int, any) { return s.Hold(ctx, id, held) }))
+		r.POST("/v1/jobs/:id"+path, withJobID(func(ctx context.Context, id string) (int, any) { return s.Hold(ctx, id, held) }))
 	}
 	r.GET("/v1/schema", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		w.Header().Set("Content-Type", "application/schema+json")
@@ -65,7 +65,7 @@
 	r.POST(pathScripts, f.submitScript)
 	r.POST("/checkin", f.report)
 	r.GET(pathOverview, f.overview)
-	r.GET(pathJobView+":id", aboutJob(f.jobView))
+	r.GET(pathJobView+":id", withJobID(f.jobView))
 	r.GET(pathJobs, f.jobs)
 	r.GET(pathMetrics, f.metrics)
 	r.PanicHandler = func(w http.ResponseWriter, _ *http.Request, p any) {
@@ -75,16 +75,16 @@
 	return r
 }
 
-// keptShare is up to which share of the connections workers keep theirs between reports. Beyond
-// it they open one for each: a controller that is alone with a whole fleet had no
-// connection left for users, and none to its workers.
-const keptShare = 0.75
+// keepAliveShare is the share of the connection limit up to which workers keep their connections alive between
+// reports. Above it they open a connection for each report: a controller that served a whole fleet alone had
+// no connection left for users, and none to its workers.
+const keepAliveShare = 0.75
 
-// ServeFront serves the front door until the listener closes. The number of
-// connections is bounded, and so is how long a slow client may take.
+// ServeFront serves users, workers and health checks until the listener closes. The number of connections is
+// limited, and slow clients time out.
 func ServeFront(l net.Listener, s Service, connections int) error {
 	var open atomic.Int64
-	crowded := func() bool { return float64(open.Load()) > keptShare*float64(connections) }
+	crowded := func() bool { return float64(open.Load()) > keepAliveShare*float64(connections) }
 	count := func(_ net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
@@ -121,19 +121,19 @@
 	w.Write(raw)
 }
 
-var errBody = errors.New("the body is too large or did not come whole")
+var errUnreadableBody = errors.New("the body is too large or did not come whole")
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 	if err != nil {
-		reply(w, http.StatusBadRequest, errBody)
+		reply(w, http.StatusBadRequest, errUnreadableBody)
 		return nil, false
 	}
 	return body, true
 }
 
 func (f front) health(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if f.s.Healthy() {
+	if f.service.Healthy() {
 		reply(w, http.StatusOK, nil)
 	} else {
 		reply(w, http.StatusServiceUnavailable, nil)
@@ -145,40 +145,40 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	status, answer := f.s.Submit(ctx, body)
+	status, answer := f.service.Submit(ctx, body)
 	reply(w, status, answer)
 }
 
-// What holds a job and releases it.
+// The path suffixes of the requests that hold and release a job.
 const (
 	pathHold    = "/hold"
 	pathRelease = "/release"
 )
 
-// pathScripts takes batch scripts with PBS directives, as text. Options over those of
-// the script come in the query ("options"). The header Idempotency-Key names the
-// submission: the same key is the same job, however often it is sent.
+// pathScripts accepts batch scripts with PBS directives, as text. The query parameter "options" holds command
+// line options, which override those of the script. The header Idempotency-Key identifies the submission:
+// requests with the same key submit the same job, however often they are sent.
 const pathScripts = "/pbs/jobs"
 
-const headerKey = "Idempotency-Key"
+const idempotencyHeader = "Idempotency-Key"
 
-var errNoKey = errors.New("the header " + headerKey + " is missing: any text that is new for each job, and the same when it is sent again")
+var errNoIdempotencyKey = errors.New("the header " + idempotencyHeader + " is missing: any text that is new for each job, and the same when it is sent again")
 
 func (f front) submitScript(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	key := r.Header.Get(headerKey)
+	key := r.Header.Get(idempotencyHeader)
 	if key == "" || len(key) > 200 {
-		reply(w, http.StatusBadRequest, errNoKey)
+		reply(w, http.StatusBadRequest, errNoIdempotencyKey)
 		return
 	}
 	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	status, answer := f.s.SubmitScript(ctx, key, r.URL.Query().Get("options"), string(body))
+	status, answer := f.service.SubmitScript(ctx, key, r.URL.Query().Get("options"), string(body))
 	reply(w, status, answer)
 }
 
@@ -189,9 +189,9 @@
 		reply(w, http.StatusNotFound, errNoJob)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	text, err := f.s.Script(ctx, id, task)
+	text, err := f.service.Script(ctx, id, task)
 	switch {
 	case errors.Is(err, ErrNoSuchJob):
 		reply(w, http.StatusNotFound, err)
@@ -204,20 +204,20 @@
 }
 
 var (
-	errNoJob  = errors.New("no such job")
-	errUntold = errors.New("cannot be told now")
+	errNoJob             = errors.New("no such job")
+	errStatusUnavailable = errors.New("cannot be told now")
 )
 
-// aboutJob gives the id in the path to a handler, with a bounded time; ids of
-// a wrong form name no job.
-func aboutJob(h func(ctx context.Context, id string) (status int, answer any)) httprouter.Handle {
+// withJobID calls a handler with the job id of the path and a timeout. A malformed id gets the answer for an
+// unknown job.
+func withJobID(h func(ctx context.Context, id string) (status int, answer any)) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		id := p.ByName("id")
 		if !protocol.ValidJobID(id) {
 			reply(w, http.StatusNotFound, errNoJob)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
 		status, answer := h(ctx, id)
 		reply(w, status, answer)
@@ -225,10 +225,10 @@
 }
 
 func (f front) status(ctx context.Context, id string) (int, any) {
-	st, err := f.s.Status(ctx, id)
+	st, err := f.service.Status(ctx, id)
 	switch {
 	case err != nil:
-		return http.StatusServiceUnavailable, errUntold
+		return http.StatusServiceUnavailable, errStatusUnavailable
 	case st == nil:
 		return http.StatusNotFound, errNoJob
 	}
@@ -248,12 +248,12 @@
 		err = rep.Validate()
 	}
 	if err != nil {
-		slog.Debug("senseless report", "err", err)
+		slog.Debug("invalid report", "err", err)
 		reply(w, http.StatusBadRequest, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 3*time.Second)
 	defer cancel()
-	status, answer := f.s.Report(ctx, &rep)
+	status, answer := f.service.Report(ctx, &rep)
 	reply(w, status, answer)
 }
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -11,24 +11,24 @@
 	"daledyke/internal/protocol"
 )
 
-type reported struct{ Service }
+type reportService struct{ Service }
 
-func (reported) Report(context.Context, *protocol.Report) (int, any) {
+func (reportService) Report(context.Context, *protocol.Report) (int, any) {
 	return http.StatusOK, protocol.ReportAnswer{}
 }
 
-func (reported) Healthy() bool { return true }
+func (reportService) Healthy() bool { return true }
 
-// Workers keep their connections between reports as long as there are enough; beyond that they
-// open one for each, so that a controller that is alone with a fleet has some left for users.
-func TestWorkersDontCrowdTheFrontDoor(t *testing.T) {
+// Workers keep their connections between reports while enough are free. Above that share each report opens a
+// connection, so that a controller that serves a whole fleet alone has some left for users.
+func TestWorkersLeaveConnectionsForUsers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go ServeFront(l, reported{}, 8)
-	ask := func(method, path, body string) (keeps bool) {
+	go ServeFront(l, reportService{}, 8)
+	request := func(method, path, body string) (keeps bool) {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -46,16 +46,16 @@
 	}
 	report := `{"bollard":"host-1","address":"x:1","shift":1,"ticket":1,"passes":[]}`
 	for n := range 6 {
-		if !ask(http.MethodPost, "/checkin", report) {
-			t.Errorf("connection %d of 8 is not kept", n+1)
+		if !request(http.MethodPost, "/checkin", report) {
+			t.Errorf("connection %d of 8 is not kept alive", n+1)
 		}
 	}
 	for range 4 {
-		if ask(http.MethodPost, "/checkin", report) {
-			t.Error("more than three quarters are kept")
+		if request(http.MethodPost, "/checkin", report) {
+			t.Error("more than three quarters of the connections are kept alive")
 		}
 	}
-	if !ask(http.MethodGet, "/healthz", "") {
-		t.Error("a user's connection is not kept")
+	if !request(http.MethodGet, "/healthz", "") {
+		t.Error("a user's connection is not kept alive")
 	}
 }
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -23,10 +23,10 @@
 	set.WritePrometheus(w)
 }
 
-// gauges are the values that an overview is written as.
+// gauges is the set of metrics of one overview.
 type gauges struct{ *metrics.Set }
 
-// gauge sets a value; labels are names and values in turn.
+// gauge sets a value; labels alternate between names and values.
 func (g gauges) gauge(name string, value float64, labels ...string) {
 	var pairs []string
 	for i := 0; i+1 < len(labels); i += 2 {
@@ -38,7 +38,7 @@
 	g.GetOrCreateGauge("daledyke_"+name, nil).Set(value)
 }
 
-func truth(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -47,12 +47,12 @@
 
 func (g gauges) controller(v *protocol.Overview) {
 	g.gauge("up_seconds", v.UpS)
-	g.gauge("session_valid", truth(v.Session.Valid))
+	g.gauge("session_valid", boolValue(v.Session.Valid))
 	g.gauge("session_left_seconds", v.Session.LeftS)
-	g.gauge("deaf", truth(v.Session.Deaf))
-	g.gauge("answers", truth(v.Holds.Answers))
+	g.gauge("deaf", boolValue(v.Session.Deaf))
+	g.gauge("answers", boolValue(v.Holds.Answers))
 	g.gauge("horizon_age_seconds", v.Holds.HorizonS)
-	g.gauge("leads", truth(v.Leader == v.Controller))
+	g.gauge("leads", boolValue(v.Leader == v.Controller))
 	if v.Window != nil {
 		g.gauge("window", float64(v.Window.Number))
 	}
@@ -104,12 +104,12 @@
 func (g gauges) siblings(v *protocol.Overview) {
 	for _, s := range v.Siblings {
 		g.gauge("sibling_generation", float64(s.Generation), "name", s.Name)
-		g.gauge("sibling_session", truth(s.Session), "name", s.Name)
+		g.gauge("sibling_session", boolValue(s.Session), "name", s.Name)
 		g.gauge("sibling_heard_seconds", s.HeardS, "name", s.Name)
 	}
 }
 
-// services writes what this controller asked of the state service and of the cloud.
+// services sets the request counters of this controller's clients of the state service and the cloud.
 func (g gauges) services(v *protocol.Overview) {
 	for name, c := range map[string]protocol.ClientView{"state": v.State, "cloud": v.Cloud} {
 		g.gauge(name+"_requests_total", float64(c.Requests))
@@ -122,7 +122,7 @@
 	}
 }
 
-// quotas writes what nested quotas grant, nothing without them.
+// quotas sets the metrics of nested quotas, none if they are off.
 func (g gauges) quotas(q *protocol.QuotaView) {
 	if q == nil {
 		return
@@ -132,7 +132,7 @@
 	g.gauge("quota_requests_total", float64(q.Requests))
 	g.gauge("quota_granted_total", float64(q.Granted))
 	g.gauge("quota_accounts_over", float64(len(q.Over)))
-	for _, a := range q.Accounts { // bounded: those that use most
+	for _, a := range q.Accounts { // bounded: the view lists only the accounts that use most
 		for state, r := range map[string]protocol.Room{"used": a.Used, "borrowed": a.Borrowed, "lent": a.Lent, "guarantee": a.Guarantee, "limit": a.Limit} {
 			g.gauge("quota_cpus", r.Cores, "account", a.Name, "state", state)
 			g.gauge("quota_gpus", r.Accels, "account", a.Name, "state", state)
--- a/internal/transport/operators.go
+++ b/internal/transport/operators.go
@@ -14,8 +14,7 @@
 	"daledyke/internal/protocol"
 )
 
-// What operators read on the front door. Nothing here changes anything, and
-// nothing is worked out unless it is asked for.
+// The read-only HTTP interface for operators. Its views are computed only on request.
 
 // The paths of the operators' view.
 const (
@@ -26,11 +25,11 @@
 )
 
 func (f front) overview(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	reply(w, http.StatusOK, f.s.Overview(r.Context()))
+	reply(w, http.StatusOK, f.service.Overview(r.Context()))
 }
 
 func (f front) jobView(ctx context.Context, id string) (int, any) {
-	v, err := f.s.JobView(ctx, id)
+	v, err := f.service.JobView(ctx, id)
 	switch {
 	case err != nil:
 		return http.StatusServiceUnavailable, err
@@ -42,13 +41,13 @@
 
 func (f front) jobs(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
-	l, err := f.s.Jobs(r.Context(), &protocol.JobFilter{Queue: q.Get("queue"), Account: q.Get("account"), Name: q.Get("name"), Class: q.Get("class"),
+	l, err := f.service.Jobs(r.Context(), &protocol.JobFilter{Queue: q.Get("queue"), Account: q.Get("account"), Name: q.Get("name"), Class: q.Get("class"),
 		Team: q.Get("team"), Over: q.Has("over"), Batch: q.Has("batch"), After: q.Get("after")})
 	if err != nil {
 		reply(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	// Users ask for it too, and no line of an answer to them may exceed 64 KiB.
+	// The output is indented since users request it too, and no line of a response to them may exceed 64 KiB.
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
@@ -57,31 +56,31 @@
 
 func (f front) metrics(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	writeMetrics(w, f.s.Overview(r.Context()))
+	writeMetrics(w, f.service.Overview(r.Context()))
 }
 
-// Operators asks a controller for its view.
-type Operators struct {
+// OperatorClient fetches a controller's view of the cluster.
+type OperatorClient struct {
 	http *http.Client
 	base string
 }
 
-// NewOperators makes a client of the controller whose front door is at addr.
-func NewOperators(dial Dialer, addr string) *Operators {
-	return &Operators{http: newHTTPClient(dial, 1, time.Second), base: "http://" + addr}
+// NewOperatorClient makes a client of the controller whose HTTP server is at addr.
+func NewOperatorClient(dial Dialer, addr string) *OperatorClient {
+	return &OperatorClient{http: newHTTPClient(dial, 1, time.Second), base: "http://" + addr}
 }
 
-// ErrNoSuchJob says that the controller knows nothing of the job.
+// ErrNoSuchJob means that the controller doesn't know the job.
 var ErrNoSuchJob = errors.New("no such job is known to this controller")
 
-// Overview asks for what the controller knows.
-func (o *Operators) Overview(ctx context.Context) (v *protocol.Overview, err error) {
+// Overview fetches the controller's overview.
+func (o *OperatorClient) Overview(ctx context.Context) (v *protocol.Overview, err error) {
 	v = &protocol.Overview{}
 	return v, o.get(ctx, pathOverview, v)
 }
 
-// Job asks how a job stands.
-func (o *Operators) Job(ctx context.Context, id string) (v *protocol.JobView, err error) {
+// Job fetches the state of a job.
+func (o *OperatorClient) Job(ctx context.Context, id string) (v *protocol.JobView, err error) {
 	if !protocol.ValidJobID(id) {
 		return nil, fmt.Errorf("%q is no job id (they look like wk-000412)", id)
 	}
@@ -89,7 +88,7 @@
 	return v, o.get(ctx, pathJobView+id, v)
 }
 
-func (o *Operators) get(ctx context.Context, path string, into any) error {
+func (o *OperatorClient) get(ctx context.Context, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	code, raw, err := Call(ctx, o.http, http.MethodGet, o.base+path, nil)
--- a/internal/transport/rpc.go
+++ b/internal/transport/rpc.go
@@ -8,10 +8,9 @@
 	"time"
 )
 
-// Peer calls one sibling over net/rpc. It is an actor: its goroutine owns the
-// connection. net/rpc has no time-outs, so every call is bounded here, and a
-// call that runs out of time closes the connection, which keeps what is in
-// flight bounded too.
+// Peer calls one sibling over net/rpc. Its goroutine owns the connection. net/rpc has no timeouts, so Peer
+// applies one to every call and closes the connection when a call exceeds it, which also bounds the calls in
+// flight.
 type Peer struct {
 	addr  string
 	dial  Dialer
@@ -26,22 +25,22 @@
 	result chan error
 }
 
-// NewPeer makes a caller for the sibling at addr; it runs until ctx ends.
+// NewPeer makes a client of the sibling at addr; its goroutine runs until ctx ends.
 func NewPeer(ctx context.Context, dial Dialer, addr string) *Peer {
 	p := &Peer{addr: addr, dial: dial, calls: make(chan peerCall)}
 	go p.run(ctx)
 	return p
 }
 
-// Call makes one call; calls of one Peer go one after the other.
+// Call makes one call; a Peer makes its calls one at a time.
 func (p *Peer) Call(ctx context.Context, timeout time.Duration, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c := peerCall{ctx, method, args, reply, make(chan error, 1)}
 	select {
 	case p.calls <- c:
-		// The actor answers in any case, soon after ctx ends, and does not
-		// touch reply afterwards.
+		// The goroutine always sends a result, at the latest soon after ctx ends, and doesn't touch reply
+		// afterwards.
 		return <-c.result
 	case <-ctx.Done():
 		return fmt.Errorf("%w: sibling busy", ErrRefused)
@@ -86,7 +85,7 @@
 	}
 }
 
-// ServeRPC serves receivers to the siblings until the listener closes.
+// ServeRPC serves the receivers, registered by name, to the siblings until the listener closes.
 func ServeRPC(l net.Listener, receivers map[string]any) error {
 	srv := rpc.NewServer()
 	for name, r := range receivers {
--- a/internal/transport/state.go
+++ b/internal/transport/state.go
@@ -13,32 +13,33 @@
 	"daledyke/internal/protocol"
 )
 
-// ErrTooOld says that the watch asked for changes that are no longer kept.
+// ErrTooOld means that the watch asked for changes that the service no longer keeps.
 var ErrTooOld = errors.New("changes no longer kept")
 
-// ErrNoLease says that the lease has ended.
+// ErrNoLease means that the lease has ended.
 var ErrNoLease = errors.New("no such lease")
 
 // State is the client of the state service.
 type State struct {
-	http   *http.Client
-	base   string
-	reads  *budget
-	writes *budget
-	// Counts are what the requests came to.
+	http          *http.Client
+	base          string
+	requestBudget *rateBudget
+	changeBudget  *rateBudget
+	// Counts counts the requests by outcome.
 	Counts Counts
 }
 
-// NewState makes a client that uses a share of the service's budgets.
+// NewState makes a client that sends at most rps requests and writeRPS changes a second, its shares of the
+// service's rates.
 func NewState(dial Dialer, addr string, rps, writeRPS float64) *State {
 	return &State{http: newHTTPClient(dial, 32, time.Minute), base: "http://" + addr,
-		reads: newBudget(rps), writes: newBudget(writeRPS)}
+		requestBudget: newRateBudget(rps), changeBudget: newRateBudget(writeRPS)}
 }
 
 func (s *State) call(ctx context.Context, u Urgency, timeout time.Duration, method, path string, body any) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if err := s.reads.wait(ctx, u, 1); err != nil {
+	if err := s.requestBudget.wait(ctx, u, 1); err != nil {
 		s.Counts.NoBudget.Add(1)
 		return 0, nil, err
 	}
@@ -46,7 +47,7 @@
 	if err == nil && (code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests) {
 		err = fmt.Errorf("%w: state service answers %d", ErrRefused, code)
 	}
-	s.Counts.note(err)
+	s.Counts.record(err)
 	return code, raw, err
 }
 
@@ -75,12 +76,12 @@
 	return p, true, decode(raw, &p)
 }
 
-// MaxPage is how many keys a listing gives at most.
+// MaxPage is the maximum number of keys in a page.
 const MaxPage = 1000
 
-// List reads a page of the keys with a prefix, of so many at most.
-func (s *State) List(ctx context.Context, u Urgency, prefix, from string, most int) (page protocol.Page, err error) {
-	q := "?prefix=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(most)
+// List reads a page of at most limit keys with a prefix, starting at from.
+func (s *State) List(ctx context.Context, u Urgency, prefix, from string, limit int) (page protocol.Page, err error) {
+	q := "?prefix=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if from != "" {
 		q += "&from=" + url.QueryEscape(from)
 	}
@@ -94,7 +95,7 @@
 	return page, decode(raw, &page)
 }
 
-// Commit tries a transaction; ok tells whether its conditions held.
+// Commit attempts a transaction; ok reports whether its conditions held.
 func (s *State) Commit(ctx context.Context, u Urgency, timeout time.Duration, txn protocol.Txn) (ans protocol.TxnAnswer, ok bool, err error) {
 	if txn.If == nil {
 		txn.If = []protocol.Condition{}
@@ -104,7 +105,7 @@
 	}
 	if n := len(txn.Then); n > 0 {
 		wctx, cancel := context.WithTimeout(ctx, timeout)
-		err := s.writes.wait(wctx, u, n)
+		err := s.changeBudget.wait(wctx, u, n)
 		cancel()
 		if err != nil {
 			s.Counts.NoBudget.Add(1)
@@ -113,7 +114,7 @@
 	}
 	code, raw, err := s.call(ctx, u, timeout, http.MethodPost, "/multi", txn)
 	if code == http.StatusTooManyRequests {
-		s.writes.refused()
+		s.changeBudget.recordRefusal()
 	}
 	switch {
 	case err != nil:
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -17,77 +17,76 @@
 	"daledyke/internal/protocol"
 )
 
-// Users speaks to controllers' front doors as users do: what can't be taken now is
-// tried again, at another door if there is one, within a bound.
-type Users struct {
-	http  *http.Client
-	doors []string
-	// Patience bounds all tries of one request.
-	Patience time.Duration
+// UserClient is a client of the controllers' API for users. It retries a request that can't be accepted now,
+// at the next address if there are several, until a total timeout.
+type UserClient struct {
+	http      *http.Client
+	addresses []string
+	// TotalTimeout bounds all tries of one request together.
+	TotalTimeout time.Duration
 }
 
-// The pauses between two tries: each is twice the one before, give or take a
-// quarter, and no shorter than the controller asks for.
+// The backoff between two tries doubles with each try, with a jitter of a quarter, and is no shorter than the
+// controller's Retry-After.
 const (
-	firstPause = time.Second
-	longest    = 30 * time.Second
-	oneTry     = 5 * time.Second
+	initialBackoff = time.Second
+	maxBackoff     = 30 * time.Second
+	tryTimeout     = 5 * time.Second
 )
 
-// NewUsers makes a client of the front doors at the addresses given.
-func NewUsers(dial Dialer, doors []string) *Users {
-	return &Users{http: newHTTPClient(dial, 1, time.Second), doors: doors, Patience: time.Minute}
+// NewUserClient makes a client of the controllers at the given addresses.
+func NewUserClient(dial Dialer, addresses []string) *UserClient {
+	return &UserClient{http: newHTTPClient(dial, 1, time.Second), addresses: addresses, TotalTimeout: time.Minute}
 }
 
-// Pause is how long to wait before the next try, after so many; asked is what the
-// controller asked for, chance from 0 to 1.
-func Pause(tries int, asked time.Duration, chance float64) time.Duration {
-	pause := min(longest, firstPause<<min(tries, 10))
-	pause += time.Duration((chance - 0.5) / 2 * float64(pause))
-	return max(pause, min(asked, longest))
+// Backoff is the wait before the next try after the given number of tries. retryAfter is the controller's
+// Retry-After, jitter a random number from 0 to 1.
+func Backoff(tries int, retryAfter time.Duration, jitter float64) time.Duration {
+	backoff := min(maxBackoff, initialBackoff<<min(tries, 10))
+	backoff += time.Duration((jitter - 0.5) / 2 * float64(backoff))
+	return max(backoff, min(retryAfter, maxBackoff))
 }
 
-// answered tells whether an answer is final: anything but a request to come again.
-func answered(status int) bool {
+// isFinal reports whether a response is final rather than a request to retry.
+func isFinal(status int) bool {
 	return status < 500 && status != http.StatusTooManyRequests
 }
 
-// try sends a request until it is answered for good.
-func (u *Users) try(ctx context.Context, method, path string, header http.Header, body []byte) (status int, raw []byte, err error) {
-	if len(u.doors) == 0 {
+// requestWithRetry sends a request until a final response arrives or the total timeout expires.
+func (u *UserClient) requestWithRetry(ctx context.Context, method, path string, header http.Header, body []byte) (status int, raw []byte, err error) {
+	if len(u.addresses) == 0 {
 		return 0, nil, errors.New("no controller is named")
 	}
-	ctx, cancel := context.WithTimeout(ctx, u.Patience)
+	ctx, cancel := context.WithTimeout(ctx, u.TotalTimeout)
 	defer cancel()
 	last := ""
 	for tries := 0; ; tries++ {
-		door := u.doors[tries%len(u.doors)]
-		status, asked, raw, err := u.once(ctx, method, "http://"+door+path, header, body)
+		address := u.addresses[tries%len(u.addresses)]
+		status, retryAfter, raw, err := u.requestOnce(ctx, method, "http://"+address+path, header, body)
 		switch {
-		case err == nil && answered(status):
+		case err == nil && isFinal(status):
 			return status, raw, nil
 		case err == nil:
-			last = fmt.Sprintf("%s answers %d", door, status)
+			last = fmt.Sprintf("%s answers %d", address, status)
 		case last == "" || ctx.Err() == nil:
-			last = fmt.Sprintf("no answer from %s", door)
+			last = fmt.Sprintf("no answer from %s", address)
 		}
 		select {
 		case <-ctx.Done():
-			return 0, nil, fmt.Errorf("given up after %v and %d tries: %s", u.Patience, tries+1, last)
-		case <-time.After(Pause(tries, asked, rand.Float64())):
+			return 0, nil, fmt.Errorf("given up after %v and %d tries: %s", u.TotalTimeout, tries+1, last)
+		case <-time.After(Backoff(tries, retryAfter, rand.Float64())):
 		}
 	}
 }
 
-func (u *Users) once(ctx context.Context, method, url string, header http.Header, body []byte) (status int, asked time.Duration, raw []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, oneTry)
+func (u *UserClient) requestOnce(ctx context.Context, method, url string, header http.Header, body []byte) (status int, retryAfter time.Duration, raw []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
-	return Once(ctx, u.http, method, url, header, body)
+	return RequestOnce(ctx, u.http, method, url, header, body)
 }
 
-// Once makes one request as users do; asked is how long the answer asks them to wait
-// before they come again, 0 if it doesn't.
-func Once(ctx context.Context, c *http.Client, method, url string, header http.Header, body []byte) (status int, asked time.Duration, raw []byte, err error) {
+// RequestOnce makes one request without retries; retryAfter is the response's Retry-After, 0 if it has none.
+func RequestOnce(ctx context.Context, c *http.Client, method, url string, header http.Header, body []byte) (status int, retryAfter time.Duration, raw []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, 0, nil, err
@@ -101,14 +100,14 @@
 	}
 	defer resp.Body.Close()
 	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && s > 0 {
-		asked = time.Duration(s) * time.Second
+		retryAfter = time.Duration(s) * time.Second
 	}
-	raw, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-	return resp.StatusCode, asked, raw, err
+	raw, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	return resp.StatusCode, retryAfter, raw, err
 }
 
-// refusal is what a controller says of a request that it refuses.
-func refusal(status int, raw []byte) error {
+// refusalError is the error text of a controller's refusal.
+func refusalError(status int, raw []byte) error {
 	var e struct{ Error string }
 	if json.Unmarshal(raw, &e) != nil || e.Error == "" {
 		e.Error = fmt.Sprintf("the controller answers %d: is it a front door?", status)
@@ -116,45 +115,44 @@
 	return errors.New(e.Error)
 }
 
-// SubmitScript submits a batch script under a key: tried again with the same key, it
-// is the same job.
-func (u *Users) SubmitScript(ctx context.Context, key, options, script string) (taken protocol.ScriptTaken, err error) {
-	header := http.Header{"Content-Type": {"text/plain"}, headerKey: {key}}
-	status, raw, err := u.try(ctx, http.MethodPost, pathScripts+"?options="+url.QueryEscape(options), header, []byte(script))
+// SubmitScript submits a batch script under an idempotency key: a retry with the same key submits the same job.
+func (u *UserClient) SubmitScript(ctx context.Context, key, options, script string) (taken protocol.ScriptTaken, err error) {
+	header := http.Header{"Content-Type": {"text/plain"}, idempotencyHeader: {key}}
+	status, raw, err := u.requestWithRetry(ctx, http.MethodPost, pathScripts+"?options="+url.QueryEscape(options), header, []byte(script))
 	switch {
 	case err != nil:
 		return taken, err
 	case status != http.StatusOK && status != http.StatusCreated:
-		return taken, refusal(status, raw)
+		return taken, refusalError(status, raw)
 	}
 	return taken, json.Unmarshal(raw, &taken)
 }
 
-// Cancel cancels a job and gives how it stands then.
-func (u *Users) Cancel(ctx context.Context, id string) (st protocol.JobStatus, err error) {
-	return st, u.ask(ctx, http.MethodPost, "/v1/jobs/"+id+"/cancel", &st)
+// Cancel cancels a job and returns its status after that.
+func (u *UserClient) Cancel(ctx context.Context, id string) (st protocol.JobStatus, err error) {
+	return st, u.requestJSON(ctx, http.MethodPost, "/v1/jobs/"+id+"/cancel", &st)
 }
 
-// Hold holds a job, or releases it.
-func (u *Users) Hold(ctx context.Context, id string, held bool) (a protocol.HoldAnswer, err error) {
+// Hold holds a job if held is true, and releases it otherwise.
+func (u *UserClient) Hold(ctx context.Context, id string, held bool) (a protocol.HoldAnswer, err error) {
 	path := pathRelease
 	if held {
 		path = pathHold
 	}
-	return a, u.ask(ctx, http.MethodPost, "/v1/jobs/"+id+path, &a)
+	return a, u.requestJSON(ctx, http.MethodPost, "/v1/jobs/"+id+path, &a)
 }
 
-// View asks how a job stands.
-func (u *Users) View(ctx context.Context, id string) (v protocol.JobView, err error) {
-	return v, u.ask(ctx, http.MethodGet, pathJobView+id, &v)
+// View fetches the state of a job.
+func (u *UserClient) View(ctx context.Context, id string) (v protocol.JobView, err error) {
+	return v, u.requestJSON(ctx, http.MethodGet, pathJobView+id, &v)
 }
 
-// mostParts bounds the parts of a list that are asked for.
-const mostParts = 100
+// maxPages bounds the pages that are fetched of one list.
+const maxPages = 100
 
-// Jobs lists the jobs that a filter chooses, as one controller knows them.
-func (u *Users) Jobs(ctx context.Context, f protocol.JobFilter) (jobs []protocol.JobView, err error) {
-	for range mostParts {
+// Jobs lists the jobs that match a filter, as known to one controller.
+func (u *UserClient) Jobs(ctx context.Context, f protocol.JobFilter) (jobs []protocol.JobView, err error) {
+	for range maxPages {
 		q := url.Values{}
 		for name, v := range map[string]string{"queue": f.Queue, "account": f.Account, "name": f.Name, "class": f.Class, "team": f.Team, "after": f.After} {
 			if v != "" {
@@ -167,7 +165,7 @@
 			}
 		}
 		var l protocol.JobList
-		if err := u.ask(ctx, http.MethodGet, pathJobs+"?"+q.Encode(), &l); err != nil {
+		if err := u.requestJSON(ctx, http.MethodGet, pathJobs+"?"+q.Encode(), &l); err != nil {
 			return nil, err
 		}
 		jobs = append(jobs, l.Jobs...)
@@ -179,25 +177,25 @@
 	return jobs, nil
 }
 
-func (u *Users) ask(ctx context.Context, method, path string, into any) error {
-	status, raw, err := u.try(ctx, method, path, http.Header{}, nil)
+func (u *UserClient) requestJSON(ctx context.Context, method, path string, into any) error {
+	status, raw, err := u.requestWithRetry(ctx, method, path, http.Header{}, nil)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
 		return ErrNoSuchJob
 	case status != http.StatusOK:
-		return refusal(status, raw)
+		return refusalError(status, raw)
 	}
 	return json.Unmarshal(raw, into)
 }
 
-// Doors splits a list of addresses joined by commas.
-func Doors(list string) (doors []string) {
+// SplitAddresses splits a comma-separated list of addresses.
+func SplitAddresses(list string) (addresses []string) {
 	for _, d := range strings.Split(list, ",") {
 		if d = strings.TrimSpace(d); d != "" {
-			doors = append(doors, d)
+			addresses = append(addresses, d)
 		}
 	}
-	return doors
+	return addresses
 }
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -9,34 +9,33 @@
 	"daledyke/internal/protocol"
 )
 
-// Workers is the client of the workers' own interface.
+// Workers is the client of the workers' HTTP API.
 type Workers struct {
 	http *http.Client
-	// slots bound how many requests are under way, and so how many connections are open beside
-	// those that are kept.
-	slots chan struct{}
+	// inFlight is a semaphore that limits the requests in flight, and so the open connections besides the
+	// idle ones.
+	inFlight chan struct{}
 }
 
-// NewWorkers makes the client, which has so many connections open at most, half of them kept
-// for later.
+// NewWorkers makes a client with at most the given number of open connections, half of them idle.
 func NewWorkers(dial Dialer, connections int) *Workers {
-	most := max(1, connections/2)
+	limit := max(1, connections/2)
 	client := newHTTPClient(dial, 1, 20*time.Second)
-	client.Transport.(*http.Transport).MaxIdleConns = most
-	return &Workers{http: client, slots: make(chan struct{}, most)}
+	client.Transport.(*http.Transport).MaxIdleConns = limit
+	return &Workers{http: client, inFlight: make(chan struct{}, limit)}
 }
 
-// slotWithin bounds the wait for a slot.
-const slotWithin = time.Second
+// connectionWait bounds the wait until the limit admits a request.
+const connectionWait = time.Second
 
-// call makes one request, which may take so long, once there is a slot for it; ErrRefused if
-// there is none in time.
+// call makes one request once the limit of requests in flight admits it; the timeout starts then. It returns
+// ErrRefused if the request isn't admitted in time.
 func (w *Workers) call(ctx context.Context, timeout time.Duration, method, url string, body any) (int, []byte, error) {
-	wait := time.NewTimer(slotWithin)
+	wait := time.NewTimer(connectionWait)
 	defer wait.Stop()
 	select {
-	case w.slots <- struct{}{}:
-		defer func() { <-w.slots }()
+	case w.inFlight <- struct{}{}:
+		defer func() { <-w.inFlight }()
 	case <-wait.C:
 		return 0, nil, fmt.Errorf("%w: too many requests to workers are under way", ErrRefused)
 	case <-ctx.Done():
@@ -47,9 +46,9 @@
 	return Call(ctx, w.http, method, url, body)
 }
 
-// Do gives a worker commands. With executed false and no error, the worker
-// refused them for good; either way rep is its report afterwards. ErrRefused: nothing was
-// sent, for want of a connection.
+// Do sends commands to a worker; rep is the worker's report after them. If executed is false without an error,
+// the worker refused the commands for good. ErrRefused means that nothing was sent, since no connection was
+// available.
 func (w *Workers) Do(ctx context.Context, addr string, o protocol.Orders) (rep *protocol.Report, executed bool, err error) {
 	if o.Commands == nil {
 		o.Commands = []protocol.Command{}
@@ -68,7 +67,7 @@
 	return rep, code == http.StatusOK, rep.Validate()
 }
 
-// Reachable tells whether a worker answers.
+// Reachable reports whether a worker responds.
 func (w *Workers) Reachable(ctx context.Context, addr string) bool {
 	code, _, err := w.call(ctx, 2*time.Second, http.MethodGet, "http://"+addr+"/inspect", nil)
 	return err == nil && code == http.StatusOK
--- a/internal/transport/workers_test.go
+++ b/internal/transport/workers_test.go
@@ -11,18 +11,18 @@
 	"daledyke/internal/protocol"
 )
 
-// A command for which there is no connection is refused as never sent, soon, however long the
-// others that hold them all go unanswered; once one is free it has its whole time.
-func TestCommandsWaitForConnections(t *testing.T) {
+// A command that gets no connection is soon refused as not sent, however long the commands that use all
+// connections remain unanswered. A command that gets a connection has its full timeout.
+func TestCommandIsRefusedWithoutConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
-			select { // an attempt goes on when its request is given up
+		dialSilent := func(ctx context.Context, _, _ string) (net.Conn, error) {
+			select { // a dial outlives its abandoned request
 			case <-ctx.Done():
 			case <-time.After(10 * time.Second):
 			}
 			return nil, errors.New("timed out")
 		}
-		w := NewWorkers(silent, 2) // one under way, one kept
+		w := NewWorkers(dialSilent, 2) // one in flight, one idle
 		do := func() (time.Duration, error) {
 			began := time.Now()
 			_, _, err := w.Do(t.Context(), "worker-x:1", protocol.Orders{})
@@ -34,7 +34,7 @@
 			first <- err
 		}()
 		synctest.Wait()
-		if took, err := do(); !errors.Is(err, ErrRefused) || took > slotWithin {
+		if took, err := do(); !errors.Is(err, ErrRefused) || took > connectionWait {
 			t.Errorf("%v after %v", err, took)
 		}
 		if err := <-first; !errors.Is(err, ErrUnknown) {
