--- a/cmd/daledyke/lab.go
+++ b/cmd/daledyke/lab.go
@@ -17,7 +17,7 @@
 	"daledyke/internal/lab"
 )
 
-// labCommand is the lab: experiments, reports, hunts.
+// labCommand runs simulated experiments, makes reports of them, and searches for failing ones.
 func labCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "lab",
@@ -26,7 +26,7 @@
 	}
 	cmd.AddCommand(labRunCommand(), labReportCommand(), labHuntCommand(), &cobra.Command{
 		Use:    "play DIR",
-		Hidden: true, // a run is played by a process of its own
+		Hidden: true, // run starts it, a process for each run of an experiment
 		Args:   cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if err := setLogging(); err != nil {
@@ -42,8 +42,8 @@
 	return cmd
 }
 
-// errBroken: something broke a rule, which is no fault of the lab.
-var errBroken = exitError{errors.New("rules were broken"), 3}
+// errRulesBroken means that a run violated a rule, as opposed to an error of the lab itself.
+var errRulesBroken = exitError{errors.New("rules were broken"), 3}
 
 func labRunCommand() *cobra.Command {
 	var out string
@@ -69,7 +69,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			bar := newBar(cmd.ErrOrStderr(), e.Name)
+			bar := newProgressBar(cmd.ErrOrStderr(), e.Name)
 			runner.Progress = bar
 			res, err := runner.Run(ctx, e)
 			if err != nil {
@@ -81,7 +81,7 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "kept in %s\n", out)
 			if res.Broken() > 0 {
-				return errBroken
+				return errRulesBroken
 			}
 			return nil
 		},
@@ -96,8 +96,8 @@
 	return &lab.Runner{Dir: out, Play: []string{program, "lab", "play"}, AtOnce: atOnce}, err
 }
 
-// newBar shows a share that grows.
-func newBar(w io.Writer, what string) func(share float64) {
+// newProgressBar returns a function that shows the finished share of the work.
+func newProgressBar(w io.Writer, what string) func(share float64) {
 	const steps = 1000
 	bar := progressbar.NewOptions(steps, progressbar.OptionSetWriter(w), progressbar.OptionSetDescription(what),
 		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
@@ -154,7 +154,7 @@
 				return err
 			}
 			if len(found) > 0 {
-				return errBroken
+				return errRulesBroken
 			}
 			return nil
 		},
--- a/cmd/daledyke/main.go
+++ b/cmd/daledyke/main.go
@@ -1,5 +1,4 @@
-// Command daledyke schedules jobs on rented machines; one process of it is
-// one controller.
+// Command daledyke schedules jobs on rented machines; each process is one controller.
 package main
 
 import (
@@ -22,12 +21,12 @@
 	"daledyke/internal/transport"
 )
 
-// version is set by the build of a release.
+// version is set when a release is built.
 var version = "dev"
 
 func main() {
-	root := command()
-	// Under the names of PBS's commands (links) the program is those.
+	root := newRootCommand()
+	// Called through a link with the name of a PBS command, the program is that command.
 	if name := filepath.Base(os.Args[0]); slices.Contains([]string{"qsub", "qstat", "qdel", "qhold", "qrls", "qselect", "qalter"}, name) {
 		root.SetArgs(append([]string{name}, os.Args[1:]...))
 	}
@@ -39,7 +38,7 @@
 	}
 }
 
-func command() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var platform, operator string
 	root := &cobra.Command{
 		Use:   "daledyke --config FILE",
@@ -62,7 +61,7 @@
 			if err := setLogging(); err != nil {
 				return err
 			}
-			return run(cmd.Context(), c)
+			return runController(cmd.Context(), c)
 		},
 	}
 	flags := root.PersistentFlags()
@@ -107,11 +106,11 @@
 	return nil
 }
 
-func run(ctx context.Context, c *config.Config) error {
+func runController(ctx context.Context, c *config.Config) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	// Memory is there, processor is not: collect seldom while far from the limit.
+	// CPU time is scarcer than memory: collect garbage seldom while far from the memory limit.
 	debug.SetGCPercent(400)
 	debug.SetMemoryLimit(int64(c.Deployment.Limits.MemMB * 0.6 * (1 << 20)))
 	front, err := net.Listen("tcp", c.Front)
@@ -125,9 +124,9 @@
 	return coordination.NewController(ctx, c, transport.NetDialer()).Serve(ctx, front, internal, c.MaxFrontConnections())
 }
 
-// askAt is the address at which a command asks a controller: the one it was given, or the
-// one that the settings name.
-func askAt(command, address, platform, operator string, of func(*config.Config) string) (string, error) {
+// controllerAddress is the address of the controller that a command calls: the given one, or else that in the
+// settings.
+func controllerAddress(command, address, platform, operator string, addressOf func(*config.Config) string) (string, error) {
 	if address != "" {
 		return address, nil
 	}
@@ -138,5 +137,5 @@
 	if err != nil {
 		return "", err
 	}
-	return of(c), nil
+	return addressOf(c), nil
 }
--- a/cmd/daledyke/qstat.go
+++ b/cmd/daledyke/qstat.go
@@ -15,17 +15,17 @@
 	"daledyke/internal/transport"
 )
 
-// qstat and qselect: what is told of jobs, in the words of PBS.
+// The commands qstat and qselect, which show jobs in the format of PBS.
 
 func qstatCommand() *cobra.Command {
 	return pbsCommand("qstat [--address HOST:PORT,...] [-f] [-x] [-F json] [-u TEAM] [-q QUEUE] [JOB...]", "Shows how batch jobs stand, those named or all",
 		`qstat shows jobs as PBS's qstat does: Q waits, H is held, W waits for its
 time, R runs, B is an array of which some run, F is over. Without names, the batch jobs that are not over, with -x also those that
-ended lately. -f shows all that is known, -F json the same for programs.`+doorsHelp, qstat)
+ended lately. -f shows all that is known, -F json the same for programs.`+addressHelp, qstat)
 }
 
-// listed asks for the jobs that a filter chooses.
-func listed(cmd *cobra.Command, o *pbsOptions, f protocol.JobFilter) ([]protocol.JobView, error) {
+// listJobs fetches the jobs that match a filter.
+func listJobs(cmd *cobra.Command, o *pbsOptions, f protocol.JobFilter) ([]protocol.JobView, error) {
 	u, err := o.users()
 	if err != nil {
 		return nil, err
@@ -35,7 +35,7 @@
 
 func qselectCommand() *cobra.Command {
 	return pbsCommand("qselect [--address HOST:PORT,...] [-q QUEUE] [-N NAME] [-P ACCOUNT] [-s STATES] [-u TEAM] [-x]", "Prints the names of the batch jobs that match",
-		"qselect prints the names of batch jobs, one a line, for qdel and others. -s takes letters\nof qstat, such as QH; -x also those that ended lately."+doorsHelp,
+		"qselect prints the names of batch jobs, one a line, for qdel and others. -s takes letters\nof qstat, such as QH; -x also those that ended lately."+addressHelp,
 		func(cmd *cobra.Command, o *pbsOptions, args []string) error {
 			f := protocol.JobFilter{Batch: true}
 			states := ""
@@ -53,9 +53,9 @@
 				}
 			}
 			f.Over = f.Over || strings.Contains(states, "F")
-			views, err := listed(cmd, o, f)
+			views, err := listJobs(cmd, o, f)
 			for i := range views {
-				if states == "" || strings.Contains(states, state(&views[i])) {
+				if states == "" || strings.Contains(states, stateLetter(&views[i])) {
 					fmt.Fprintln(cmd.OutOrStdout(), pbsName(&views[i]))
 				}
 			}
@@ -63,8 +63,8 @@
 		})
 }
 
-// state is PBS's letter for how a job stands.
-func state(v *protocol.JobView) string {
+// stateLetter is PBS's letter for a job's state.
+func stateLetter(v *protocol.JobView) string {
 	switch {
 	case v.Status == protocol.Done || v.Status == protocol.Cancelled:
 		return "F"
@@ -96,7 +96,7 @@
 		case option == "-x":
 			f.Over = true
 		case option == "-t" || option == "-J":
-			// Arrays are shown as one, with how many of their tasks are done.
+			// No effect: an array is always shown as one job, with the number of its finished tasks.
 		case option == "-F" && value == "json":
 			asJSON = true
 		case option == "-u" && value != "":
@@ -117,7 +117,7 @@
 			}
 			return err
 		})
-	} else if views, err = listed(cmd, o, f); err != nil {
+	} else if views, err = listJobs(cmd, o, f); err != nil {
 		return err
 	}
 	out := cmd.OutOrStdout()
@@ -148,7 +148,7 @@
 		for i := range views {
 			v := &views[i]
 			age := int(v.AgeS)
-			fmt.Fprintf(t, "%s\t%s\t%s\t%02d:%02d:%02d\t%s\t%s\n", pbsName(v), cmp.Or(v.Name, v.Class), v.Team, age/3600, age/60%60, age%60, state(v), cmp.Or(v.Queue, "-"))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%02d:%02d:%02d\t%s\t%s\n", pbsName(v), cmp.Or(v.Name, v.Class), v.Team, age/3600, age/60%60, age%60, stateLetter(v), cmp.Or(v.Queue, "-"))
 		}
 		t.Flush()
 	}
@@ -159,9 +159,9 @@
 	return pbs.JobName(v.ID, v.Shape == protocol.Array && v.Tasks > 1)
 }
 
-// attributes are a job's as PBS's qstat -f names them.
+// attributes are a job's attributes under the names of PBS's qstat -f.
 func attributes(v *protocol.JobView) map[string]any {
-	a := map[string]any{"Job_Name": cmp.Or(v.Name, v.Class), "job_state": state(v), "queue": cmp.Or(v.Queue, "-"), "Priority": v.Priority,
+	a := map[string]any{"Job_Name": cmp.Or(v.Name, v.Class), "job_state": stateLetter(v), "queue": cmp.Or(v.Queue, "-"), "Priority": v.Priority,
 		"project": v.Team, "Resource_List": fmt.Sprintf("tasks=%d, done=%d, running=%d", v.Tasks, v.Done, v.Running)}
 	if v.Account != "" {
 		a["Account_Name"] = v.Account
--- a/cmd/daledyke/qsub.go
+++ b/cmd/daledyke/qsub.go
@@ -21,11 +21,12 @@
 	"daledyke/internal/transport"
 )
 
-// doorsVariable names the front doors where no option does.
-const doorsVariable = "DALEDYKE_DOORS"
+// addressesVariable is the environment variable with the controllers' addresses, for commands without an
+// option for them.
+const addressesVariable = "DALEDYKE_DOORS"
 
-// pbsOptions are daledyke's own options of the PBS commands, which come first; the
-// rest is PBS's, which no library of options reads: -l select=2:ncpus=4.
+// pbsOptions are daledyke's own options of the PBS commands, which come first. The remaining arguments are PBS
+// options such as -l select=2:ncpus=4, which flag libraries can't parse.
 type pbsOptions struct {
 	platform, operator, address string
 	check, help                 bool
@@ -54,23 +55,23 @@
 	return args, nil
 }
 
-// users is a client of the front doors that the options or the environment name.
+// users makes a client of the controllers that the options or the environment name.
 func (o *pbsOptions) users() (*transport.UserClient, error) {
-	doors := transport.SplitAddresses(cmp.Or(o.address, os.Getenv(doorsVariable)))
-	if len(doors) == 0 && o.platform != "" {
+	addresses := transport.SplitAddresses(cmp.Or(o.address, os.Getenv(addressesVariable)))
+	if len(addresses) == 0 && o.platform != "" {
 		c, err := config.Load(o.platform, "")
 		if err != nil {
 			return nil, err
 		}
-		doors = []string{c.Front}
+		addresses = []string{c.Front}
 	}
-	if len(doors) == 0 {
-		return nil, fmt.Errorf("no controller is named: give --address HOST:PORT,... or --config FILE, or set %s", doorsVariable)
+	if len(addresses) == 0 {
+		return nil, fmt.Errorf("no controller is named: give --address HOST:PORT,... or --config FILE, or set %s", addressesVariable)
 	}
-	return transport.NewUserClient(transport.NetDialer(), doors), nil
+	return transport.NewUserClient(transport.NetDialer(), addresses), nil
 }
 
-// pbsCommand makes one of PBS's commands.
+// pbsCommand makes the command for one of PBS's.
 func pbsCommand(use, short, long string, run func(cmd *cobra.Command, o *pbsOptions, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Long: long, DisableFlagParsing: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -82,11 +83,11 @@
 			case o.help:
 				return cmd.Help()
 			}
-			return asPBS(run(cmd, &o, rest))
+			return withPBSStatus(run(cmd, &o, rest))
 		}}
 }
 
-// exitError is an error with the exit status that a command ends with.
+// exitError is an error with the exit status of the command.
 type exitError struct {
 	error
 	status int
@@ -94,18 +95,18 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
-// errFinished: a job that should be changed is over.
+// errFinished means that the job to change has already ended.
 var errFinished = errors.New("it is over already")
 
-// The exit statuses of PBS's commands that scripts look at: the low bytes of its
-// errors for unknown and finished jobs.
+// The exit statuses of PBS's commands on which scripts rely: the low bytes of PBS's error numbers for unknown
+// and finished jobs.
 const (
 	exitUnknownJob  = 153
 	exitFinishedJob = 35
 )
 
-// asPBS gives an error the exit status that PBS's commands have for it.
-func asPBS(err error) error {
+// withPBSStatus adds the exit status of PBS's commands to an error.
+func withPBSStatus(err error) error {
 	switch {
 	case errors.Is(err, transport.ErrNoSuchJob):
 		return exitError{err, exitUnknownJob}
@@ -115,7 +116,7 @@
 	return err
 }
 
-const doorsHelp = `
+const addressHelp = `
 The controller is that of --address HOST:PORT,... (front doors, tried in turn), of
 --config FILE, or of DALEDYKE_DOORS. What can't be taken now is tried again for a
 minute.`
@@ -130,7 +131,7 @@
 
   qsub --check --config FILE --settings FILE [PBS options] [SCRIPT]
 
-only translates, without a controller, and prints the job as it would be submitted.`+doorsHelp, qsub)
+only translates, without a controller, and prints the job as it would be submitted.`+addressHelp, qsub)
 }
 
 func qsub(cmd *cobra.Command, o *pbsOptions, args []string) error {
@@ -145,12 +146,12 @@
 	if err != nil {
 		return err
 	}
-	if len(rest) == 1 && rest[0] != "-" && !hasName(script, options) { // as in PBS, it is named for its script
-		options = append(options, pbs.Option{Letter: 'N', Value: nameOf(rest[0])})
+	if len(rest) == 1 && rest[0] != "-" && !hasName(script, options) { // as in PBS, the job gets the script's name
+		options = append(options, pbs.Option{Letter: 'N', Value: jobNameFromFile(rest[0])})
 	}
 	key := rand.Text()
 	if o.check {
-		return check(cmd, o, script, options, key)
+		return checkScript(cmd, o, script, options, key)
 	}
 	u, err := o.users()
 	if err != nil {
@@ -164,12 +165,12 @@
 	if err != nil {
 		return err
 	}
-	tellNotes(cmd, taken.Notes)
+	printNotes(cmd, taken.Notes)
 	fmt.Fprintln(cmd.OutOrStdout(), taken.ID)
 	return nil
 }
 
-func check(cmd *cobra.Command, o *pbsOptions, script string, options []pbs.Option, key string) error {
+func checkScript(cmd *cobra.Command, o *pbsOptions, script string, options []pbs.Option, key string) error {
 	if o.platform == "" || o.operator == "" {
 		return errors.New("qsub --check needs --config FILE and --settings FILE: they name the teams and queues")
 	}
@@ -184,20 +185,20 @@
 	if err != nil {
 		return err
 	}
-	tellNotes(cmd, j.Notes)
+	printNotes(cmd, j.Notes)
 	e := json.NewEncoder(cmd.OutOrStdout())
 	e.SetIndent("", "  ")
 	return e.Encode(j.Submission(script))
 }
 
-func tellNotes(cmd *cobra.Command, notes []string) {
+func printNotes(cmd *cobra.Command, notes []string) {
 	for _, n := range notes {
 		fmt.Fprintln(cmd.ErrOrStderr(), "note:", n)
 	}
 }
 
-// nameOf makes a job's name of its script's.
-func nameOf(file string) string {
+// jobNameFromFile derives a job's name from the name of its script file.
+func jobNameFromFile(file string) string {
 	name := strings.Map(func(r rune) rune {
 		if r < 128 && (r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("_.+-", r)) {
 			return r
@@ -210,7 +211,7 @@
 	return name[:min(len(name), 200)]
 }
 
-// hasName tells whether a script or the options over it name the job.
+// hasName reports whether a script or the command line options name the job.
 func hasName(script string, options []pbs.Option) bool {
 	prefix := ""
 	for _, o := range options {
@@ -218,7 +219,7 @@
 			prefix = o.Value
 		}
 	}
-	own, _ := pbs.Directives(script, prefix) // what is wrong with them is told later
+	own, _ := pbs.Directives(script, prefix) // translation reports their errors later
 	for _, o := range append(own, options...) {
 		if o.Letter == 'N' {
 			return true
@@ -251,7 +252,7 @@
 
 func qdelCommand() *cobra.Command {
 	return pbsCommand("qdel [--address HOST:PORT,...] JOB...", "Cancels jobs by their PBS names",
-		"qdel cancels jobs: 412.daledyke, 412, or 412[] of an array."+doorsHelp,
+		"qdel cancels jobs: 412.daledyke, 412, or 412[] of an array."+addressHelp,
 		func(cmd *cobra.Command, o *pbsOptions, args []string) error {
 			return eachJob(cmd, o, args, func(u *transport.UserClient, id string) error {
 				st, err := u.Cancel(contextOf(cmd), id)
@@ -265,7 +266,7 @@
 
 // holdCommand makes qhold or qrls.
 func holdCommand(name, short, long string, held bool) *cobra.Command {
-	return pbsCommand(name+" [--address HOST:PORT,...] JOB...", short, long+doorsHelp, func(cmd *cobra.Command, o *pbsOptions, args []string) error {
+	return pbsCommand(name+" [--address HOST:PORT,...] JOB...", short, long+addressHelp, func(cmd *cobra.Command, o *pbsOptions, args []string) error {
 		return eachJob(cmd, o, args, func(u *transport.UserClient, id string) error {
 			a, err := u.Hold(contextOf(cmd), id, held)
 			switch {
@@ -287,7 +288,7 @@
 	return holdCommand("qrls", "Releases held jobs", "qrls releases jobs that qsub -h or qhold holds.", false)
 }
 
-// eachJob does something for each job named; all are tried, and what failed is told.
+// eachJob calls do for each named job, continues after errors, and returns them joined.
 func eachJob(cmd *cobra.Command, o *pbsOptions, args []string, do func(u *transport.UserClient, id string) error) error {
 	if len(args) == 0 {
 		return errors.New("no job is named")
@@ -311,7 +312,7 @@
 
 func qalterCommand() *cobra.Command {
 	return pbsCommand("qalter [--address HOST:PORT,...] -h u|n JOB...", "Changes what may still change of jobs: whether they are held",
-		"qalter -h u holds jobs, -h n releases them. What a job is can't change once it is\naccepted, since controllers and workers read its description as it was: cancel it and\nsubmit it again."+doorsHelp,
+		"qalter -h u holds jobs, -h n releases them. What a job is can't change once it is\naccepted, since controllers and workers read its description as it was: cancel it and\nsubmit it again."+addressHelp,
 		func(cmd *cobra.Command, o *pbsOptions, args []string) error {
 			if len(args) < 2 || args[0] != "-h" || args[1] != "u" && args[1] != "n" {
 				return errors.New("only -h u and -h n can be altered; for anything else cancel the job (qdel) and submit it again (qsub)")
--- a/cmd/daledyke/quota.go
+++ b/cmd/daledyke/quota.go
@@ -21,8 +21,8 @@
 	"daledyke/internal/transport"
 )
 
-// quotaCommand shows operators the accounts of nested quotas and changes them. It
-// speaks to a controller's internal address, which users don't reach.
+// quotaCommand shows the accounts of nested quotas to operators and changes them. It calls a controller's
+// internal address, which users can't reach.
 func quotaCommand(platform, operator *string) *cobra.Command {
 	var address string
 	var raw bool
@@ -37,7 +37,7 @@
 	flags.StringVar(&address, "address", "", "the controller's internal address, `HOST:PORT`")
 	flags.BoolVar(&raw, "json", false, "as JSON, for programs")
 	call := func(cmd *cobra.Command, method string, args, reply any) error {
-		at, err := askAt("quota", address, *platform, *operator, func(c *config.Config) string { return c.Internal })
+		at, err := controllerAddress("quota", address, *platform, *operator, func(c *config.Config) string { return c.Internal })
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error {
 				v, err := ask(cmd)
 				if err == nil && len(args) == 1 {
-					v.Accounts, err = below(v.Accounts, args[0])
+					v.Accounts, err = accountSubtree(v.Accounts, args[0])
 				}
 				return show(cmd.OutOrStdout(), v, err, raw, text)
 			},
@@ -70,7 +70,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error {
 				v, err := ask(cmd)
 				if err == nil {
-					if v.Accounts, err = below(v.Accounts, args[0]); err == nil {
+					if v.Accounts, err = accountSubtree(v.Accounts, args[0]); err == nil {
 						v.Accounts = v.Accounts[:1]
 					}
 				}
@@ -80,8 +80,8 @@
 	return root
 }
 
-// below leaves of accounts the named one, first, and those below it.
-func below(all []protocol.QuotaAccount, name string) (out []protocol.QuotaAccount, err error) {
+// accountSubtree returns the named account, first, and those below it.
+func accountSubtree(all []protocol.QuotaAccount, name string) (out []protocol.QuotaAccount, err error) {
 	for _, a := range all {
 		if a.Name == name || strings.HasPrefix(a.Name, name+"/") {
 			out = append(out, a)
@@ -113,7 +113,7 @@
 			if err != nil {
 				return err
 			}
-			c := quota.Change{Revision: v.Revision, Drop: drop, By: cmp.Or(by, whoAmI()), Why: why, DryRun: dryRun}
+			c := quota.Change{Revision: v.Revision, Drop: drop, By: cmp.Or(by, currentUser()), Why: why, DryRun: dryRun}
 			if revision >= 0 {
 				c.Revision = uint64(revision)
 			}
@@ -136,7 +136,7 @@
 					if part.text == "" {
 						continue
 					}
-					if *part.guarantee, *part.limit, err = amounts(part.text); err != nil {
+					if *part.guarantee, *part.limit, err = parseGuaranteeAndLimit(part.text); err != nil {
 						return fmt.Errorf("--%s: %w", part.name, err)
 					}
 				}
@@ -172,8 +172,8 @@
 	return cmd
 }
 
-// amounts reads a guarantee and a limit, G:L, or a guarantee alone.
-func amounts(text string) (guarantee, limit float64, err error) {
+// parseGuaranteeAndLimit parses a guarantee and a limit, G:L, or a guarantee alone.
+func parseGuaranteeAndLimit(text string) (guarantee, limit float64, err error) {
 	g, l, both := strings.Cut(text, ":")
 	if guarantee, err = strconv.ParseFloat(g, 64); err == nil && both {
 		limit, err = strconv.ParseFloat(l, 64)
@@ -184,14 +184,14 @@
 	return guarantee, limit, nil
 }
 
-func whoAmI() string {
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
 	return os.Getenv("USER")
 }
 
-func heading(w io.Writer, v protocol.QuotaView) {
+func printRevision(w io.Writer, v protocol.QuotaView) {
 	if v.Revision == 0 {
 		fmt.Fprintln(w, "as the settings have them (revision 0)")
 	} else {
@@ -202,8 +202,8 @@
 	}
 }
 
-// pair prints a guarantee and a limit, or a use of both.
-func pair(a, b float64) string {
+// formatPair formats a guarantee and a limit.
+func formatPair(a, b float64) string {
 	if b == 0 {
 		return fmt.Sprintf("%g:-", a)
 	}
@@ -211,24 +211,24 @@
 }
 
 func showTree(w io.Writer, v protocol.QuotaView) {
-	heading(w, v)
+	printRevision(w, v)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ACCOUNT\tCPUS\tGPUS\tRAM\tWEIGHT")
 	for _, a := range v.Accounts {
 		depth := strings.Count(a.Name, "/")
 		fmt.Fprintf(t, "%s%s\t%s\t%s\t%s\t%g\n", strings.Repeat("  ", depth), a.Name[strings.LastIndexByte(a.Name, '/')+1:],
-			pair(a.Guarantee.Cores, a.Limit.Cores), pair(a.Guarantee.Accels, a.Limit.Accels), pair(a.Guarantee.RAM, a.Limit.RAM), a.Weight)
+			formatPair(a.Guarantee.Cores, a.Limit.Cores), formatPair(a.Guarantee.Accels, a.Limit.Accels), formatPair(a.Guarantee.RAM, a.Limit.RAM), a.Weight)
 	}
 	t.Flush()
 }
 
 func showUsage(w io.Writer, v protocol.QuotaView) {
-	heading(w, v)
+	printRevision(w, v)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ACCOUNT\tCPUS USED\tOF\tLENT\tBORROWED\tGPUS USED\tOF\tLENT\tBORROWED\tWAITING")
 	for _, a := range v.Accounts {
-		fmt.Fprintf(t, "%s\t%g\t%s\t%g\t%g\t%g\t%s\t%g\t%g\t%d\n", a.Name, a.Used.Cores, pair(a.Guarantee.Cores, a.Limit.Cores), a.Lent.Cores, a.Borrowed.Cores,
-			a.Used.Accels, pair(a.Guarantee.Accels, a.Limit.Accels), a.Lent.Accels, a.Borrowed.Accels, a.Waiting)
+		fmt.Fprintf(t, "%s\t%g\t%s\t%g\t%g\t%g\t%s\t%g\t%g\t%d\n", a.Name, a.Used.Cores, formatPair(a.Guarantee.Cores, a.Limit.Cores), a.Lent.Cores, a.Borrowed.Cores,
+			a.Used.Accels, formatPair(a.Guarantee.Accels, a.Limit.Accels), a.Lent.Accels, a.Borrowed.Accels, a.Waiting)
 	}
 	t.Flush()
 }
--- a/cmd/daledyke/status.go
+++ b/cmd/daledyke/status.go
@@ -18,7 +18,7 @@
 	"daledyke/internal/transport"
 )
 
-// statusCommand shows operators what a controller knows.
+// statusCommand shows a controller's view of the cluster, or of one job, to operators.
 func statusCommand(platform, operator *string) *cobra.Command {
 	var address string
 	var raw bool
@@ -27,7 +27,7 @@
 		Short: "Shows what a running controller knows, or how a job stands and why it waits",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			at, err := askAt("status", address, *platform, *operator, func(c *config.Config) string { return c.Front })
+			at, err := controllerAddress("status", address, *platform, *operator, func(c *config.Config) string { return c.Front })
 			if err != nil {
 				return err
 			}
@@ -59,15 +59,15 @@
 	return e.Encode(v)
 }
 
-func yesNo(b bool, yes, no string) string {
+func choose(b bool, yes, no string) string {
 	if b {
 		return yes
 	}
 	return no
 }
 
-// span writes seconds as people do, "unknown" if there are none.
-func span(s *float64) string {
+// formatSeconds formats seconds for people, nil as "unknown".
+func formatSeconds(s *float64) string {
 	if s == nil {
 		return "unknown"
 	}
@@ -79,41 +79,41 @@
 	defer w.Flush()
 	line := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
 	line("controller", "%s in %s, up %v, generation %d", v.Controller, v.Zone, protocol.Seconds(v.UpS).Round(time.Second), v.Generation)
-	line("session", "%s, term %d, may act for %v more%s", yesNo(v.Session.Valid, "valid", yesNo(v.Holds.Answers, "not valid: answers workers on promises", "NOT VALID: answers workers 503")),
-		v.Session.Term, protocol.Seconds(v.Session.LeftS), yesNo(v.Session.Deaf, "; its workers can't reach it", ""))
+	line("session", "%s, term %d, may act for %v more%s", choose(v.Session.Valid, "valid", choose(v.Holds.Answers, "not valid: answers workers on promises", "NOT VALID: answers workers 503")),
+		v.Session.Term, protocol.Seconds(v.Session.LeftS), choose(v.Session.Deaf, "; its workers can't reach it", ""))
 	line("cancellations", "all known up to %v ago", protocol.Seconds(v.Holds.HorizonS).Round(100*time.Millisecond))
 	if v.Window == nil {
 		line("window", "none yet")
 	} else {
 		line("window", "%d (newest %d) of %s", v.Window.Number, v.Window.Newest, strings.Join(v.Window.Owners, ", "))
 	}
-	line("leader", "%s", yesNo(v.Leader != "", v.Leader, "none"))
+	line("leader", "%s", choose(v.Leader != "", v.Leader, "none"))
 	byHolder := map[string]int{}
 	var incomplete []string
 	for _, s := range v.Slots {
 		byHolder[s.Holder]++
 		if !s.Complete {
-			incomplete = append(incomplete, fmt.Sprintf("%d (%s, %d awaited)", s.Slot, yesNo(s.Holder != "", s.Holder, "no holder"), s.Awaited))
+			incomplete = append(incomplete, fmt.Sprintf("%d (%s, %d awaited)", s.Slot, choose(s.Holder != "", s.Holder, "no holder"), s.Awaited))
 		}
 	}
 	var held []string
 	for _, name := range slices.Sorted(maps.Keys(byHolder)) {
-		held = append(held, fmt.Sprintf("%s %d", yesNo(name != "", name, "nobody"), byHolder[name]))
+		held = append(held, fmt.Sprintf("%s %d", choose(name != "", name, "nobody"), byHolder[name]))
 	}
 	line("slots", "%s", strings.Join(held, ", "))
-	line("incomplete", "%s", yesNo(len(incomplete) > 0, strings.Join(incomplete, ", "), "none"))
+	line("incomplete", "%s", choose(len(incomplete) > 0, strings.Join(incomplete, ", "), "none"))
 	line("holds", "%d machines (%d silent, %d suspect, %d doubted, %d draining), %d tasks, %d running", v.Holds.Machines, v.Holds.Silent,
 		v.Holds.Suspect, v.Holds.Doubted, v.Holds.Draining, v.Holds.Tasks, v.Holds.Running)
 	for _, f := range v.Fleet {
-		line("fleet", "%s%s: %d up (%.0f%% used), %d booting", f.Type, yesNo(f.Spot, " spot", ""), f.Up, 100*f.Used, f.Booting)
+		line("fleet", "%s%s: %d up (%.0f%% used), %d booting", f.Type, choose(f.Spot, " spot", ""), f.Up, 100*f.Used, f.Booting)
 	}
 	if len(v.NoCapacity) > 0 {
 		line("no capacity", "%s", strings.Join(v.NoCapacity, ", "))
 	}
 	for _, s := range v.Siblings {
-		line("sibling", "%s: %s, %s, %s", s.Name, yesNo(s.Session, "session lives", "no session known"),
-			yesNo(s.HeardS >= 0, fmt.Sprintf("heard %v ago", protocol.Seconds(s.HeardS)), "never heard"),
-			yesNo(s.Generation > 0, fmt.Sprintf("generation %d", s.Generation), "generation not known"))
+		line("sibling", "%s: %s, %s, %s", s.Name, choose(s.Session, "session lives", "no session known"),
+			choose(s.HeardS >= 0, fmt.Sprintf("heard %v ago", protocol.Seconds(s.HeardS)), "never heard"),
+			choose(s.Generation > 0, fmt.Sprintf("generation %d", s.Generation), "generation not known"))
 	}
 	client := func(name string, c protocol.ClientView) {
 		line(name, "%d requests, %d refused, %d unanswered, %d without budget", c.Requests, c.Refused, c.Unanswered, c.NoBudget)
@@ -143,7 +143,7 @@
 	}
 	fmt.Fprintf(w, "\nJOB\tCLASS\tTEAM\tAGE\tDONE\tRUNNING\tWHY IT WAITS\tSTARTS IN\n")
 	for _, j := range v.Waiting {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%s\t%s\n", j.ID, j.Class, j.Team, span(&j.AgeS), j.Done, j.Tasks, j.Running, j.Reason, span(j.StartsInS))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%s\t%s\n", j.ID, j.Class, j.Team, formatSeconds(&j.AgeS), j.Done, j.Tasks, j.Running, j.Reason, formatSeconds(j.StartsInS))
 	}
 }
 
@@ -152,13 +152,13 @@
 	defer w.Flush()
 	line := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
 	line("job", "%s: %s", v.ID, v.Status)
-	line("class", "%s of %s, %s, priority %s%s", v.Class, v.Team, v.Shape, v.Priority, yesNo(v.RaisedTo != "", ", raised to "+v.RaisedTo+" for others", ""))
-	line("owner", "%s", yesNo(v.Owner != "", v.Owner, "none yet"))
-	line("age", "%s", span(&v.AgeS))
+	line("class", "%s of %s, %s, priority %s%s", v.Class, v.Team, v.Shape, v.Priority, choose(v.RaisedTo != "", ", raised to "+v.RaisedTo+" for others", ""))
+	line("owner", "%s", choose(v.Owner != "", v.Owner, "none yet"))
+	line("age", "%s", formatSeconds(&v.AgeS))
 	line("tasks", "%d: %d done, %d running, %d on machines", v.Tasks, v.Done, v.Running, v.Placed)
 	if v.Reason != "" {
 		line("waits", "%s", v.Reason)
-		line("starts in", "%s", span(v.StartsInS))
+		line("starts in", "%s", formatSeconds(v.StartsInS))
 	}
 	if len(v.Needs) > 0 {
 		line("waits for", "%s", strings.Join(v.Needs, ", "))
@@ -167,10 +167,10 @@
 		line("needed by", "%s", strings.Join(v.NeededBy, ", "))
 	}
 	if v.DueInS != nil {
-		line("due in", "%s", span(v.DueInS))
+		line("due in", "%s", formatSeconds(v.DueInS))
 	}
 	if v.MustEndInS != nil {
-		line("must end in", "%s", span(v.MustEndInS))
+		line("must end in", "%s", formatSeconds(v.MustEndInS))
 	}
 	if v.CancelledWith != "" {
 		line("cancelled with", "%s", v.CancelledWith)
--- a/cmd/daledyke/up.go
+++ b/cmd/daledyke/up.go
@@ -17,8 +17,8 @@
 	"daledyke/internal/lab"
 )
 
-// upReady is how long all controllers of `up` may take until they take requests.
-const upReady = 30 * time.Second
+// readyTimeout bounds the time until all controllers of `up` accept requests.
+const readyTimeout = 30 * time.Second
 
 // upCommand runs a whole deployment on this machine.
 func upCommand(operator *string) *cobra.Command {
@@ -61,8 +61,8 @@
 	pbs                   bool
 }
 
-// tryQueue is a queue for trying scripts in.
-const tryQueue = `(daledyke
+// exampleQueue is the operators' settings with a queue for trying scripts.
+const exampleQueue = `(daledyke
   (pbs
     (queue "try" (default true) (team "desk") (class "render") (image "tools" ) (image-gb 1)
       (urgency "normal") (walltime "00:00:30") (mem-gb 4))))
@@ -87,7 +87,7 @@
 			return errors.New("--pbs makes settings of its own: name queues in those of --settings instead")
 		}
 		o.settings = filepath.Join(o.dir, "operators.edn")
-		if err := os.WriteFile(o.settings, []byte(tryQueue), 0o600); err != nil {
+		if err := os.WriteFile(o.settings, []byte(exampleQueue), 0o600); err != nil {
 			return err
 		}
 	}
@@ -110,7 +110,7 @@
 		fmt.Fprintf(out, "  %-10s front %s, internal %s, settings %s\n", name, u.Addresses.Front[name], u.Addresses.Inner[name], u.Files[name])
 	}
 	fmt.Fprintf(out, "Try, in another terminal:\n  daledyke status --address %s\n", u.Addresses.Front[first])
-	fmt.Fprintf(out, "  curl -d '%s' http://%s/v1/jobs\n", sampleJob, u.Door)
+	fmt.Fprintf(out, "  curl -d '%s' http://%s/v1/jobs\n", exampleJob, u.Door)
 	fmt.Fprintf(out, "  curl http://%s/v1/jobs/wk-1\n", u.Door)
 	if o.settings != "" {
 		fmt.Fprintf(out, "  daledyke qsub --address %s SCRIPT\n", u.Door)
@@ -126,9 +126,9 @@
 	}
 }
 
-// awaitReady waits until all controllers take requests, or one of them has ended.
+// awaitReady waits until all controllers accept requests or one of them has ended.
 func awaitReady(ctx context.Context, u *lab.Up, ended <-chan string, dir string) error {
-	ctx, cancel := context.WithTimeout(ctx, upReady)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	ready := make(chan error, 1)
 	go func() { ready <- u.Ready(ctx) }()
@@ -136,15 +136,15 @@
 	case err := <-ready:
 		return err
 	case what := <-ended:
-		return fmt.Errorf("%s\n%s", what, lastLines(dir, what))
+		return fmt.Errorf("%s\n%s", what, logTail(dir, what))
 	}
 }
 
-// sampleJob is a job to try: three tasks of 20 s.
-const sampleJob = `{"id":"wk-1","laneClass":"render","crew":"desk","shape":"array","urgency":"normal","passes":3,"cores":4,"accelerators":0,"ramGb":8,"build":"tools","pullGb":1,"oneZone":false,"scatter":false,"standby":false,"expectedS":20,"snapshotS":0,"flushS":0}`
+// exampleJob is a job to try: three tasks of 20 s.
+const exampleJob = `{"id":"wk-1","laneClass":"render","crew":"desk","shape":"array","urgency":"normal","passes":3,"cores":4,"accelerators":0,"ramGb":8,"build":"tools","pullGb":1,"oneZone":false,"scatter":false,"standby":false,"expectedS":20,"snapshotS":0,"flushS":0}`
 
-// lastLines are the last lines of a controller's log.
-func lastLines(dir, what string) string {
+// logTail is the last lines of the log of the controller that a message begins with.
+func logTail(dir, what string) string {
 	name, _, _ := strings.Cut(what, " ")
 	raw, err := os.ReadFile(filepath.Join(dir, name+".log"))
 	if err != nil {
--- a/cmd/daledyke/up_test.go
+++ b/cmd/daledyke/up_test.go
@@ -18,24 +18,24 @@
 	"daledyke/internal/protocol"
 )
 
-// TestMain runs the program itself in the processes that the tests start.
+// TestMain runs the program instead of the tests in the processes that the tests start.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(programVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-const asProgram = "DALEDYKE_TEST_PROGRAM"
+const programVariable = "DALEDYKE_TEST_PROGRAM"
 
-func program(args ...string) *exec.Cmd {
+func programCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=yes", "LOG_LEVEL=error")
+	cmd.Env = append(os.Environ(), programVariable+"=yes", "LOG_LEVEL=error")
 	return cmd
 }
 
-// deployment is an `up` that runs.
+// deployment is a running `up` command.
 type deployment struct {
 	cmd         *exec.Cmd
 	door, front string
@@ -43,7 +43,7 @@
 
 func startUp(t *testing.T, args ...string) *deployment {
 	t.Helper()
-	d := &deployment{cmd: program(append([]string{"up", "--listen", "127.0.0.1:0"}, args...)...)}
+	d := &deployment{cmd: programCommand(append([]string{"up", "--listen", "127.0.0.1:0"}, args...)...)}
 	d.cmd.Stderr = os.Stderr
 	out, err := d.cmd.StdoutPipe()
 	if err == nil {
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.end(syscall.SIGKILL) })
+	t.Cleanup(func() { d.stop(syscall.SIGKILL) })
 	began, lines := time.Now(), bufio.NewScanner(out)
 	for lines.Scan() {
 		if m := regexp.MustCompile(`front door is http://(\S+);`).FindStringSubmatch(lines.Text()); m != nil {
@@ -72,13 +72,13 @@
 	return d
 }
 
-func (d *deployment) end(s syscall.Signal) error {
+func (d *deployment) stop(s syscall.Signal) error {
 	d.cmd.Process.Signal(s)
 	return d.cmd.Wait()
 }
 
-// becomes waits until a job has a status.
-func (d *deployment) becomes(t *testing.T, job, status string, within time.Duration) {
+// waitForStatus waits until a job has the given status.
+func (d *deployment) waitForStatus(t *testing.T, job, status string, within time.Duration) {
 	t.Helper()
 	got := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
@@ -106,49 +106,49 @@
 	resp.Body.Close()
 }
 
-// The README's first command, as a newcomer tries it: a job and a script run, status
-// tells of them. Killed and started again, it goes on where it was.
+// The first command of the README works: a job and a script run, and status shows the controller's view.
+// After a kill and a restart, accepted jobs continue.
 func TestUp(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "up")
 	d := startUp(t, "--dir", dir, "--pbs")
-	short := strings.Replace(sampleJob, `"expectedS":20`, `"expectedS":2`, 1)
+	short := strings.Replace(exampleJob, `"expectedS":20`, `"expectedS":2`, 1)
 	d.submit(t, short)
 	script := filepath.Join(t.TempDir(), "x.sh")
 	if err := os.WriteFile(script, []byte("#PBS -l ncpus=2,walltime=1\necho hello\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := program("qsub", "--address", d.door, script).Output()
+	raw, err := programCommand("qsub", "--address", d.door, script).Output()
 	id, _, ok := strings.Cut(strings.TrimSpace(string(raw)), ".")
 	if err != nil || !ok {
 		t.Fatalf("qsub: %v %q", err, raw)
 	}
-	d.becomes(t, "wk-1", protocol.Done, 40*time.Second)
-	d.becomes(t, "wk-"+id, protocol.Done, 40*time.Second)
-	if raw, err := program("status", "--address", d.front).Output(); err != nil || !strings.Contains(string(raw), "leader") {
+	d.waitForStatus(t, "wk-1", protocol.Done, 40*time.Second)
+	d.waitForStatus(t, "wk-"+id, protocol.Done, 40*time.Second)
+	if raw, err := programCommand("status", "--address", d.front).Output(); err != nil || !strings.Contains(string(raw), "leader") {
 		t.Errorf("status: %v %s", err, raw)
 	}
-	d.submit(t, strings.NewReplacer("wk-1", "wk-2", `"expectedS":20`, `"expectedS":8`).Replace(sampleJob))
-	d.becomes(t, "wk-2", protocol.Running, 30*time.Second)
-	if err := d.end(syscall.SIGKILL); err == nil {
-		t.Error("it was not killed")
+	d.submit(t, strings.NewReplacer("wk-1", "wk-2", `"expectedS":20`, `"expectedS":8`).Replace(exampleJob))
+	d.waitForStatus(t, "wk-2", protocol.Running, 30*time.Second)
+	if err := d.stop(syscall.SIGKILL); err == nil {
+		t.Error("the killed process exited without an error")
 	}
 	d = startUp(t, "--dir", dir, "--pbs")
-	d.becomes(t, "wk-1", protocol.Done, 20*time.Second)
-	d.becomes(t, "wk-2", protocol.Done, 90*time.Second)
+	d.waitForStatus(t, "wk-1", protocol.Done, 20*time.Second)
+	d.waitForStatus(t, "wk-2", protocol.Done, 90*time.Second)
 	if resp, err := http.Get("http://" + d.door + "/v1/jobs/wk-999"); err != nil || resp.StatusCode != http.StatusNotFound {
-		t.Errorf("a job that nobody submitted: %v %+v", err, resp)
+		t.Errorf("a job that was never submitted: %v %+v", err, resp)
 	}
-	if err := d.end(syscall.SIGINT); err != nil {
+	if err := d.stop(syscall.SIGINT); err != nil {
 		t.Errorf("interrupted: %v", err)
 	}
 	left, err := os.ReadDir(dir)
 	if err != nil || len(left) == 0 {
-		t.Errorf("nothing was kept: %v", err)
+		t.Errorf("the directory is empty after the end: %v", err)
 	}
 }
 
-// What can't be brought up is told at once.
+// Arguments with which no deployment can start are refused at once.
 func TestUpRefusals(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -163,15 +163,15 @@
 		"x.edn: no such file":       {"--settings", "x.edn"},
 		"operators' settings x.edn": {"--settings", "x.edn"},
 	} {
-		raw, err := program(append([]string{"up", "--listen", "127.0.0.1:0"}, args...)...).CombinedOutput()
+		raw, err := programCommand(append([]string{"up", "--listen", "127.0.0.1:0"}, args...)...).CombinedOutput()
 		if err == nil || !strings.Contains(string(raw), want) {
 			t.Errorf("%v: %v %s", args, err, raw)
 		}
 	}
 }
 
-// An experiment in real time: controllers are processes, one is killed, one hangs, and the
-// program is compared with itself.
+// An experiment in real time, in which controllers are processes. One controller is killed, one hangs, and
+// the program is compared with itself.
 func TestLabInRealTime(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -186,11 +186,11 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := program("lab", "run", file, "--out", filepath.Join(dir, "out"), "--at-once", "2").CombinedOutput()
+	raw, err := programCommand("lab", "run", file, "--out", filepath.Join(dir, "out"), "--at-once", "2").CombinedOutput()
 	if err != nil || !strings.Contains(string(raw), "rules broken") {
 		t.Fatalf("%v\n%s", err, raw)
 	}
-	if raw, err := program("lab", "report", filepath.Join(dir, "out")).CombinedOutput(); err != nil {
+	if raw, err := programCommand("lab", "report", filepath.Join(dir, "out")).CombinedOutput(); err != nil {
 		t.Errorf("%v\n%s", err, raw)
 	}
 	for _, version := range []string{"one", "two"} {
