--- a/cmd/daledyke/lab.go
+++ b/cmd/daledyke/lab.go
@@ -97,9 +97,9 @@
 }
 
 // newProgressBar returns a function that shows the finished share of the work.
-func newProgressBar(w io.Writer, what string) func(share float64) {
+func newProgressBar(w io.Writer, description string) func(share float64) {
 	const steps = 1000
-	bar := progressbar.NewOptions(steps, progressbar.OptionSetWriter(w), progressbar.OptionSetDescription(what),
+	bar := progressbar.NewOptions(steps, progressbar.OptionSetWriter(w), progressbar.OptionSetDescription(description),
 		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
 	return func(share float64) { bar.Set(int(share * steps)) }
 }
--- a/cmd/daledyke/quota.go
+++ b/cmd/daledyke/quota.go
@@ -37,14 +37,14 @@
 	flags.StringVar(&address, "address", "", "the controller's internal address, `HOST:PORT`")
 	flags.BoolVar(&raw, "json", false, "as JSON, for programs")
 	call := func(cmd *cobra.Command, method string, args, reply any) error {
-		at, err := controllerAddress("quota", address, *platform, *operator, func(c *config.Config) string { return c.Internal })
+		controller, err := controllerAddress("quota", address, *platform, *operator, func(c *config.Config) string { return c.Internal })
 		if err != nil {
 			return err
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), 25*time.Second)
 		defer cancel()
-		if err := transport.NewPeer(ctx, transport.NetDialer(), at).Call(ctx, 25*time.Second, "Quota."+method, args, reply); err != nil {
-			return fmt.Errorf("controller at %s: %w", at, err)
+		if err := transport.NewPeer(ctx, transport.NetDialer(), controller).Call(ctx, 25*time.Second, "Quota."+method, args, reply); err != nil {
+			return fmt.Errorf("controller at %s: %w", controller, err)
 		}
 		return nil
 	}
@@ -174,8 +174,8 @@
 
 // parseGuaranteeAndLimit parses a guarantee and a limit, G:L, or a guarantee alone.
 func parseGuaranteeAndLimit(text string) (guarantee, limit float64, err error) {
-	g, l, both := strings.Cut(text, ":")
-	if guarantee, err = strconv.ParseFloat(g, 64); err == nil && both {
+	g, l, hasLimit := strings.Cut(text, ":")
+	if guarantee, err = strconv.ParseFloat(g, 64); err == nil && hasLimit {
 		limit, err = strconv.ParseFloat(l, 64)
 	}
 	if err != nil || !(guarantee >= 0) || !(limit >= 0) {
--- a/cmd/daledyke/status.go
+++ b/cmd/daledyke/status.go
@@ -27,11 +27,11 @@
 		Short: "Shows what a running controller knows, or how a job stands and why it waits",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			at, err := controllerAddress("status", address, *platform, *operator, func(c *config.Config) string { return c.Front })
+			controller, err := controllerAddress("status", address, *platform, *operator, func(c *config.Config) string { return c.Front })
 			if err != nil {
 				return err
 			}
-			o := transport.NewOperatorClient(transport.NetDialer(), at)
+			o := transport.NewOperatorClient(transport.NetDialer(), controller)
 			out := cmd.OutOrStdout()
 			if len(args) == 1 {
 				v, err := o.Job(cmd.Context(), args[0])
--- a/cmd/daledyke/up.go
+++ b/cmd/daledyke/up.go
@@ -23,7 +23,7 @@
 // upCommand runs a whole deployment on this machine.
 func upCommand(operator *string) *cobra.Command {
 	controllers, machines := 3, 40
-	door, dir, pbs := "127.0.0.1:8080", "", false
+	listen, dir, pbs := "127.0.0.1:8080", "", false
 	cmd := &cobra.Command{
 		Use:   "up",
 		Short: "Runs a whole deployment on this machine: an emulated cloud with machines, a state service, and controllers",
@@ -43,13 +43,13 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return up(ctx, cmd, upOptions{controllers, machines, door, dir, *operator, pbs})
+			return up(ctx, cmd, upOptions{controllers, machines, listen, dir, *operator, pbs})
 		},
 	}
 	f := cmd.Flags()
 	f.IntVar(&controllers, "controllers", controllers, "how `many` controllers run")
 	f.IntVar(&machines, "machines", machines, "how `many` machines the cloud has")
-	f.StringVar(&door, "listen", door, "where the front door listens, `HOST:PORT`")
+	f.StringVar(&listen, "listen", listen, "where the front door listens, `HOST:PORT`")
 	f.StringVar(&dir, "dir", "", "keep settings, logs and state in this `DIRECTORY`; without it they are gone afterwards")
 	f.BoolVar(&pbs, "pbs", false, "take PBS scripts, in a queue made for trying them")
 	return cmd
@@ -57,7 +57,7 @@
 
 type upOptions struct {
 	controllers, machines int
-	door, dir, settings   string
+	listen, dir, settings string
 	pbs                   bool
 }
 
@@ -94,7 +94,7 @@
 	ended := make(chan string, o.controllers)
 	d := lab.Example(o.controllers, o.machines)
 	d.Hasten(10)
-	u, err := lab.BringUp(ctx, d, lab.UpOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Door: o.door,
+	u, err := lab.BringUp(ctx, d, lab.UpOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Door: o.listen,
 		Ended: func(name string, err error) { ended <- fmt.Sprintf("%s ended: %v; its log is %s.log", name, err, name) }})
 	if err != nil {
 		return err
@@ -120,8 +120,8 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case what := <-ended:
-			slog.Error(what)
+		case message := <-ended:
+			slog.Error(message)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 	select {
 	case err := <-ready:
 		return err
-	case what := <-ended:
-		return fmt.Errorf("%s\n%s", what, logTail(dir, what))
+	case message := <-ended:
+		return fmt.Errorf("%s\n%s", message, logTail(dir, message))
 	}
 }
 
@@ -144,8 +144,8 @@
 const exampleJob = `{"id":"wk-1","laneClass":"render","crew":"desk","shape":"array","urgency":"normal","passes":3,"cores":4,"accelerators":0,"ramGb":8,"build":"tools","pullGb":1,"oneZone":false,"scatter":false,"standby":false,"expectedS":20,"snapshotS":0,"flushS":0}`
 
 // logTail is the last lines of the log of the controller that a message begins with.
-func logTail(dir, what string) string {
-	name, _, _ := strings.Cut(what, " ")
+func logTail(dir, message string) string {
+	name, _, _ := strings.Cut(message, " ")
 	raw, err := os.ReadFile(filepath.Join(dir, name+".log"))
 	if err != nil {
 		return err.Error()
--- a/cmd/daledyke/up_test.go
+++ b/cmd/daledyke/up_test.go
@@ -37,8 +37,8 @@
 
 // deployment is a running `up` command.
 type deployment struct {
-	cmd         *exec.Cmd
-	door, front string
+	cmd                        *exec.Cmd
+	address, controllerAddress string
 }
 
 func startUp(t *testing.T, args ...string) *deployment {
@@ -56,17 +56,17 @@
 	began, lines := time.Now(), bufio.NewScanner(out)
 	for lines.Scan() {
 		if m := regexp.MustCompile(`front door is http://(\S+);`).FindStringSubmatch(lines.Text()); m != nil {
-			d.door = m[1]
+			d.address = m[1]
 		}
 		if m := regexp.MustCompile(`status --address (\S+)`).FindStringSubmatch(lines.Text()); m != nil {
-			d.front = m[1]
+			d.controllerAddress = m[1]
 		}
 		if strings.HasPrefix(lines.Text(), "Interrupt") {
 			break
 		}
 	}
-	if took := time.Since(began); d.door == "" || d.front == "" || took > 15*time.Second {
-		t.Fatalf("door %q, front %q after %v", d.door, d.front, took)
+	if took := time.Since(began); d.address == "" || d.controllerAddress == "" || took > 15*time.Second {
+		t.Fatalf("address %q, controller address %q after %v", d.address, d.controllerAddress, took)
 	}
 	go io.Copy(io.Discard, out)
 	return d
@@ -82,7 +82,7 @@
 	t.Helper()
 	got := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
-		resp, err := http.Get("http://" + d.door + "/v1/jobs/" + job)
+		resp, err := http.Get("http://" + d.address + "/v1/jobs/" + job)
 		if err != nil {
 			got = err.Error()
 			continue
@@ -99,7 +99,7 @@
 
 func (d *deployment) submit(t *testing.T, job string) {
 	t.Helper()
-	resp, err := http.Post("http://"+d.door+"/v1/jobs", "application/json", strings.NewReader(job))
+	resp, err := http.Post("http://"+d.address+"/v1/jobs", "application/json", strings.NewReader(job))
 	if err != nil || resp.StatusCode != http.StatusCreated {
 		t.Fatalf("%v, %+v", err, resp)
 	}
@@ -118,14 +118,14 @@
 	if err := os.WriteFile(script, []byte("#PBS -l ncpus=2,walltime=1\necho hello\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := programCommand("qsub", "--address", d.door, script).Output()
+	raw, err := programCommand("qsub", "--address", d.address, script).Output()
 	id, _, ok := strings.Cut(strings.TrimSpace(string(raw)), ".")
 	if err != nil || !ok {
 		t.Fatalf("qsub: %v %q", err, raw)
 	}
 	d.waitForStatus(t, "wk-1", protocol.Done, 40*time.Second)
 	d.waitForStatus(t, "wk-"+id, protocol.Done, 40*time.Second)
-	if raw, err := programCommand("status", "--address", d.front).Output(); err != nil || !strings.Contains(string(raw), "leader") {
+	if raw, err := programCommand("status", "--address", d.controllerAddress).Output(); err != nil || !strings.Contains(string(raw), "leader") {
 		t.Errorf("status: %v %s", err, raw)
 	}
 	d.submit(t, strings.NewReplacer("wk-1", "wk-2", `"expectedS":20`, `"expectedS":8`).Replace(exampleJob))
@@ -136,7 +136,7 @@
 	d = startUp(t, "--dir", dir, "--pbs")
 	d.waitForStatus(t, "wk-1", protocol.Done, 20*time.Second)
 	d.waitForStatus(t, "wk-2", protocol.Done, 90*time.Second)
-	if resp, err := http.Get("http://" + d.door + "/v1/jobs/wk-999"); err != nil || resp.StatusCode != http.StatusNotFound {
+	if resp, err := http.Get("http://" + d.address + "/v1/jobs/wk-999"); err != nil || resp.StatusCode != http.StatusNotFound {
 		t.Errorf("a job that was never submitted: %v %+v", err, resp)
 	}
 	if err := d.stop(syscall.SIGINT); err != nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -104,9 +104,9 @@
 		return errors.New("deployment.workers.lease_s must be at least twice report_s")
 	}
 	if c.MaxRenewalStaleness() < minRenewalStaleness {
-		least := time.Duration(float64(LocalUpperBound(c.WorkerLease())+minRenewalStaleness+clockMargin) / (1 - maxClockDrift))
+		minimum := time.Duration(float64(LocalUpperBound(c.WorkerLease())+minRenewalStaleness+clockMargin) / (1 - maxClockDrift))
 		return fmt.Errorf("deployment.workers.cancel_s must be at least %.1f with a lease_s of %v, not %v: a machine that is answered runs on for a lease, whatever is cancelled meanwhile",
-			math.Ceil(least.Seconds()*10)/10, d.Workers.LeaseS, d.Workers.CancelS)
+			math.Ceil(minimum.Seconds()*10)/10, d.Workers.LeaseS, d.Workers.CancelS)
 	}
 	if d.ClockOffMs < 0 || d.Cloud.ListLagS < 0 {
 		return errors.New("deployment.clock_off_ms and deployment.cloud.list_lag_s must not be negative")
--- a/internal/config/queues.go
+++ b/internal/config/queues.go
@@ -32,20 +32,20 @@
 	}
 	f := &pbsForm{line: line}
 	for _, item := range list {
-		at := item.Line
+		itemLine := item.Line
 		q, err := parseQueue(item.Raw)
 		if err != nil {
-			return nil, fmt.Errorf("line %d: %w", at, err)
+			return nil, fmt.Errorf("line %d: %w", itemLine, err)
 		}
 		for _, other := range f.queues {
 			if other.Name == q.Name {
-				return nil, fmt.Errorf("line %d: queue %q is there twice", at, q.Name)
+				return nil, fmt.Errorf("line %d: queue %q is there twice", itemLine, q.Name)
 			}
 			if other.Default && q.Default {
-				return nil, fmt.Errorf("line %d: queues %q and %q are both the default", at, other.Name, q.Name)
+				return nil, fmt.Errorf("line %d: queues %q and %q are both the default", itemLine, other.Name, q.Name)
 			}
 		}
-		f.queues, f.lines = append(f.queues, q), append(f.lines, at)
+		f.queues, f.lines = append(f.queues, q), append(f.lines, itemLine)
 	}
 	return f, nil
 }
--- a/internal/config/teams_test.go
+++ b/internal/config/teams_test.go
@@ -16,20 +16,20 @@
 	cpu, gpu := protocol.Room{Cores: 4, RAM: 8}, protocol.Room{Cores: 4, Accels: 2, RAM: 8}
 	use := func(cores, accels float64) protocol.Room { return protocol.Room{Cores: cores, Accels: accels} }
 	for name, c := range map[string]struct{ got, want bool }{
-		"no GPU, GPUs limited":             {gpus.LimitAppliesTo(cpu), false},
-		"a GPU, GPUs limited":              {gpus.LimitAppliesTo(gpu), true},
-		"CPUs limited":                     {both.LimitAppliesTo(cpu), true},
-		"nothing limited":                  {none.LimitAppliesTo(gpu), false},
-		"GPUs within":                      {gpus.WithinGuarantee(gpu, use(400, 8)), true},
-		"GPUs over":                        {gpus.WithinGuarantee(gpu, use(4, 10)), false},
-		"takes none of what is guaranteed": {gpus.WithinGuarantee(cpu, use(4, 0)), false},
-		"one of two over":                  {both.WithinGuarantee(gpu, use(12, 2)), false},
-		"nothing guaranteed":               {none.WithinGuarantee(gpu, use(0, 0)), false},
-		"over the guarantee of GPUs":       {gpus.ExceedsGuarantee(gpu, use(4, 10)), true},
-		"GPUs over, takes none":            {gpus.ExceedsGuarantee(cpu, use(400, 10)), false},
-		"within the guarantee":             {gpus.ExceedsGuarantee(gpu, use(400, 8)), false},
-		"no guarantee, so all exceeds it":  {none.ExceedsGuarantee(cpu, use(4, 0)), true},
-		"CPUs over, takes only CPUs":       {both.ExceedsGuarantee(cpu, use(12, 0)), true},
+		"no GPU, GPUs limited":            {gpus.LimitAppliesTo(cpu), false},
+		"a GPU, GPUs limited":             {gpus.LimitAppliesTo(gpu), true},
+		"CPUs limited":                    {both.LimitAppliesTo(cpu), true},
+		"nothing limited":                 {none.LimitAppliesTo(gpu), false},
+		"GPUs within":                     {gpus.WithinGuarantee(gpu, use(400, 8)), true},
+		"GPUs over":                       {gpus.WithinGuarantee(gpu, use(4, 10)), false},
+		"takes no guaranteed resource":    {gpus.WithinGuarantee(cpu, use(4, 0)), false},
+		"one of two over":                 {both.WithinGuarantee(gpu, use(12, 2)), false},
+		"nothing guaranteed":              {none.WithinGuarantee(gpu, use(0, 0)), false},
+		"over the guarantee of GPUs":      {gpus.ExceedsGuarantee(gpu, use(4, 10)), true},
+		"GPUs over, takes none":           {gpus.ExceedsGuarantee(cpu, use(400, 10)), false},
+		"within the guarantee":            {gpus.ExceedsGuarantee(gpu, use(400, 8)), false},
+		"no guarantee, so all exceeds it": {none.ExceedsGuarantee(cpu, use(4, 0)), true},
+		"CPUs over, takes only CPUs":      {both.ExceedsGuarantee(cpu, use(12, 0)), true},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %v", name, c.got)
--- a/internal/pbs/finish.go
+++ b/internal/pbs/finish.go
@@ -69,10 +69,10 @@
 	if t.job.Name == "" {
 		t.job.Name = "STDIN"
 	}
-	switch most := q.MaxPerTask; {
-	case most.Cores > 0 && s.Cores > most.Cores, most.Accels > 0 && s.Accels > most.Accels, most.RAM > 0 && s.RAM > most.RAM:
+	switch limit := q.MaxPerTask; {
+	case limit.Cores > 0 && s.Cores > limit.Cores, limit.Accels > 0 && s.Accels > limit.Accels, limit.RAM > 0 && s.RAM > limit.RAM:
 		t.refused = append(t.refused, &Refusal{Position{}, "resources", fmt.Sprintf("a task of queue %s takes %g CPUs, %g GPUs and %g GB at most (0: no bound), not %g, %g and %g",
-			q.Name, most.Cores, most.Accels, most.RAM, s.Cores, s.Accels, s.RAM), "ask for less, or name another queue"})
+			q.Name, limit.Cores, limit.Accels, limit.RAM, s.Cores, s.Accels, s.RAM), "ask for less, or name another queue"})
 	case q.MaxTasks > 0 && s.Tasks > q.MaxTasks:
 		t.refused = append(t.refused, &Refusal{Position{}, "resources", fmt.Sprintf("a job of queue %s has %d tasks at most, not %d", q.Name, q.MaxTasks, s.Tasks), "divide it, or name another queue"})
 	}
--- a/internal/pbs/resources.go
+++ b/internal/pbs/resources.go
@@ -88,8 +88,8 @@
 	c.Count, c.CPUs = 1, 1
 	seen := map[string]bool{}
 	for k, item := range strings.Split(text, ":") {
-		name, value, is := strings.Cut(item, "=")
-		if k == 0 && !is {
+		name, value, hasValue := strings.Cut(item, "=")
+		if k == 0 && !hasValue {
 			if c.Count, err = parseCount(item); err != nil {
 				return c, err
 			}
@@ -141,11 +141,11 @@
 func ParseNodes(text string) (c Chunk, err error) {
 	c.Count, c.CPUs = 1, 1
 	for k, item := range strings.Split(text, ":") {
-		name, value, is := strings.Cut(item, "=")
+		name, value, hasValue := strings.Cut(item, "=")
 		switch {
 		case strings.Contains(item, "+"):
 			return c, errors.New("nodes of several kinds can't be had: all tasks of a job are alike")
-		case k == 0 && !is:
+		case k == 0 && !hasValue:
 			if c.Count, err = parseCount(item); err != nil {
 				return c, fmt.Errorf("%w (nodes can't be named: they come and go)", err)
 			}
@@ -273,11 +273,11 @@
 	if given && len(seconds) != 2 || len(digits) < 4 || len(digits) > 12 || len(digits)%2 != 0 || strings.Trim(digits+seconds, "0123456789") != "" {
 		return time.Time{}, errInvalid
 	}
-	twoDigits := func(from, otherwise int) int { // from counts from the end of the digits
+	twoDigits := func(from, fallback int) int { // from counts from the end of the digits
 		if at := len(digits) - from; at >= 0 {
 			return int(digits[at]-'0')*10 + int(digits[at+1]-'0')
 		}
-		return otherwise
+		return fallback
 	}
 	year := twoDigits(12, now.Year()/100)*100 + twoDigits(10, now.Year()%100)
 	month, day, hour, minute, second := twoDigits(8, int(now.Month())), twoDigits(6, now.Day()), twoDigits(4, 0), twoDigits(2, 0), 0
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -45,9 +45,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, refused := protocol.ParseJob([]byte(text))
-		if err := s.Validate(doc); (err != nil) != (refused != nil) {
-			t.Errorf("%q for %q: the schema returns %v, the parser %v", c[1], c[0], err, refused)
+		_, parseErr := protocol.ParseJob([]byte(text))
+		if err := s.Validate(doc); (err != nil) != (parseErr != nil) {
+			t.Errorf("%q for %q: the schema returns %v, the parser %v", c[1], c[0], err, parseErr)
 		}
 	}
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -115,9 +115,9 @@
 const (
 	// Deferred requests may wait while more urgent ones use the budget.
 	Deferred Urgency = iota
-	// Ordinary requests use at most 70 % of the rate.
+	// Ordinary requests use at most 70 % of this controller's share of the rate.
 	Ordinary
-	// Urgent requests may use the whole rate, and more than this controller's share after a shortage.
+	// Urgent requests may use the whole share, and after a shortage more than that.
 	Urgent
 	// Vital requests are few and everything else depends on them, for example lease renewals.
 	Vital
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, u.TotalTimeout)
 	defer cancel()
-	last := ""
+	lastFailure := ""
 	for tries := 0; ; tries++ {
 		address := u.addresses[tries%len(u.addresses)]
 		status, retryAfter, raw, err := u.requestOnce(ctx, method, "http://"+address+path, header, body)
@@ -67,13 +67,13 @@
 		case err == nil && isFinal(status):
 			return status, raw, nil
 		case err == nil:
-			last = fmt.Sprintf("%s answers %d", address, status)
-		case last == "" || ctx.Err() == nil:
-			last = fmt.Sprintf("no answer from %s", address)
+			lastFailure = fmt.Sprintf("%s answers %d", address, status)
+		case lastFailure == "" || ctx.Err() == nil:
+			lastFailure = fmt.Sprintf("no answer from %s", address)
 		}
 		select {
 		case <-ctx.Done():
-			return 0, nil, fmt.Errorf("given up after %v and %d tries: %s", u.TotalTimeout, tries+1, last)
+			return 0, nil, fmt.Errorf("given up after %v and %d tries: %s", u.TotalTimeout, tries+1, lastFailure)
 		case <-time.After(Backoff(tries, retryAfter, rand.Float64())):
 		}
 	}
