--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -71,8 +71,8 @@
 	Share   float64 `toml:"share"`
 }
 
-// Platform is the content of one controller's settings file.
-type Platform struct {
+// PlatformSettings is the content of one controller's settings file.
+type PlatformSettings struct {
 	Name     string    `toml:"host_name"`
 	Zone     string    `toml:"zone"`
 	Front    string    `toml:"front"`
@@ -121,8 +121,8 @@
 
 // Config holds all settings of a controller.
 type Config struct {
-	Platform
-	Operator
+	PlatformSettings
+	OperatorSettings
 	// Quotas divide the teams' limits among accounts, nil if the operators set none.
 	Quotas *quota.Tree
 	// Queues are the queues of PBS scripts, nil if the operators set none.
@@ -133,8 +133,8 @@
 
 // Load reads and checks the platform's settings, and the operators' own if operatorFile is given.
 func Load(platformFile, operatorFile string) (*Config, error) {
-	c := &Config{Operator: Defaults()}
-	if _, err := toml.DecodeFile(platformFile, &c.Platform); err != nil {
+	c := &Config{OperatorSettings: Defaults()}
+	if _, err := toml.DecodeFile(platformFile, &c.PlatformSettings); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", platformFile, err)
 	}
 	err := c.applyNextLimits()
@@ -145,7 +145,7 @@
 		return nil, fmt.Errorf("settings %s: %w", platformFile, err)
 	}
 	if operatorFile != "" {
-		if err := c.Operator.load(operatorFile); err != nil {
+		if err := c.OperatorSettings.load(operatorFile); err != nil {
 			return nil, fmt.Errorf("operators' settings %s: %w", operatorFile, err)
 		}
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,8 +9,8 @@
 	"olympos.io/encoding/edn"
 )
 
-// Operator holds the operators' own settings; every one has a default.
-type Operator struct {
+// OperatorSettings holds the operators' own settings; every one has a default.
+type OperatorSettings struct {
 	// Window is the duration of a window, during which one division of the ring applies.
 	Window time.Duration
 	// PublishOffset is the time from the start of a window to the publication of the next one.
@@ -36,8 +36,8 @@
 }
 
 // Defaults returns the operators' settings that apply where their file sets nothing.
-func Defaults() Operator {
-	return Operator{Window: 10 * time.Second, PublishOffset: 5 * time.Second, SummaryEvery: 2 * time.Second,
+func Defaults() OperatorSettings {
+	return OperatorSettings{Window: 10 * time.Second, PublishOffset: 5 * time.Second, SummaryEvery: 2 * time.Second,
 		Sample: 6, IdleAfter: 20 * time.Second, Spare: 1, Moves: 60, Patience: 0.5}
 }
 
@@ -46,7 +46,7 @@
 //	(daledyke (window-s 10) (publish-offset-s 5) (summary-s 2) (sample 6))
 //
 // and rejects unknown names.
-func (o *Operator) load(file string) error {
+func (o *OperatorSettings) load(file string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	return o.parse(raw)
 }
 
-func (o *Operator) parse(raw []byte) error {
+func (o *OperatorSettings) parse(raw []byte) error {
 	var form []edn.RawMessage
 	if err := edn.Unmarshal(raw, &form); err != nil {
 		return fmt.Errorf("not one list of settings: %w", err)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (o *Operator) set(name string, v float64) error {
+func (o *OperatorSettings) set(name string, v float64) error {
 	seconds := func(d *time.Duration, least, most float64) error {
 		if !(v >= least && v <= most) {
 			return fmt.Errorf("%s must be from %v to %v, not %v", name, least, most, v)
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -95,8 +95,8 @@
 }
 
 // Platform is the settings file of one controller.
-func (d *Deployment) Platform(name string, a Addresses) config.Platform {
-	p := config.Platform{Name: name, Front: a.Front[name], Internal: a.Inner[name]}
+func (d *Deployment) Platform(name string, a Addresses) config.PlatformSettings {
+	p := config.PlatformSettings{Name: name, Front: a.Front[name], Internal: a.Inner[name]}
 	p.Services.Cloud, p.Services.State = a.Cloud, a.State[name]
 	for n, other := range d.Controllers {
 		zone := d.controlZone(n)
