--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -72,8 +72,8 @@
 	state := transport.NewState(dial, c.Services.State, d.State.RPS/controllers, d.State.WriteRPS/controllers)
 	k := &Controller{cfg: c, started: time.Now(), state: state, store: bookkeeping.NewStore(state, d.State.TxnOps, c.ValueBytes())}
 	k.session = NewSession(c, k.store, func() { k.holder.ask(ctx, k.holder.dropAllSlots) })
-	k.holder = NewHolder(ctx, c, k.session, k.store, transport.NewWorkers(dial, c.ToWorkers()))
-	k.holder.stateLastServed = k.state.Counts.Served
+	k.holder = NewHolder(ctx, c, k.session, k.store, transport.NewWorkers(dial, c.MaxWorkerConnections()))
+	k.holder.stateLastServed = k.state.Counts.LastServed
 	holders := map[string]HolderCaller{c.Name: localHolder{HolderRPC{k.holder}}}
 	lenders := map[string]LendCaller{}
 	for _, s := range c.Siblings {
@@ -98,7 +98,7 @@
 	k.reader.OnArchived = k.addFinalJob
 	k.replica = bookkeeping.NewReplica(k.store, func(s *protocol.JobSpec) bookkeeping.RingPosition { return SeatFor(c, s) }, func(j *bookkeeping.Job) bookkeeping.Urgency { return urgencyOf(c, j) }, k,
 		func(revision uint64) { k.reader.CaughtUp(ctx, revision) })
-	k.replica.WatchTimeout = c.WatchFor()
+	k.replica.WatchTimeout = c.WatchTimeout()
 	return k
 }
 
@@ -149,9 +149,9 @@
 	}
 	alone := len(k.cfg.Siblings) > 0 && !k.owner.siblingHeard.Load()
 	switch now := time.Now(); {
-	case alone && now.Sub(k.state.Counts.Answered()) > isolationTimeout:
+	case alone && now.Sub(k.state.Counts.LastAnswered()) > isolationTimeout:
 		return false
-	case time.UnixMilli(k.owner.siblingServedMs.Load()).Sub(k.state.Counts.Served()) > maxServedLag:
+	case time.UnixMilli(k.owner.siblingServedMs.Load()).Sub(k.state.Counts.LastServed()) > maxServedLag:
 		return false
 	}
 	return k.session.Valid() || !k.owner.siblingSessionValid.Load()
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -133,7 +133,7 @@
 	now := time.Now()
 	load := l.load
 	load.MayRebalance = load.Slots != nil && now.Sub(l.loadAt) < maxLoadAge && now.Sub(l.assignmentChangedAt) >= balanceInterval && now.Sub(l.leadingSince) >= balanceInterval
-	next := ring.NextWindow(l.window, l.members, l.cfg.Names(), load, now, l.cfg.Window, l.cfg.PublishOffset)
+	next := ring.NextWindow(l.window, l.members, l.cfg.ControllerNames(), load, now, l.cfg.Window, l.cfg.PublishOffset)
 	if next == nil {
 		return
 	}
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -19,10 +19,10 @@
 // positions, including work without GPUs.
 func SeatFor(c *config.Config, s *protocol.JobSpec) bookkeeping.RingPosition {
 	t, teamToken := c.Team(s.Team), protocol.RingToken(s.Team)
-	if t != nil && t.Limits(s.Need()) {
+	if t != nil && t.LimitAppliesTo(s.Need()) {
 		return bookkeeping.RingPosition{Token: teamToken, Blocks: 1}
 	}
-	return bookkeeping.RingPosition{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlockCount(s), TeamFallback: t != nil && t.Limited(), TeamToken: teamToken}
+	return bookkeeping.RingPosition{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlockCount(s), TeamFallback: t != nil && t.HasLimit(), TeamToken: teamToken}
 }
 
 // ownership is a period during which this controller owns blocks of a job without interruption.
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil
 	}
-	j, err := pbs.Translate(string(body), command, g.queues, pbs.IDOf(r.Header.Get("Idempotency-Key")), time.Now().UTC())
+	j, err := pbs.Translate(string(body), command, g.queues, pbs.IDForKey(r.Header.Get("Idempotency-Key")), time.Now().UTC())
 	if err != nil {
 		return nil
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -192,7 +192,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	retryIn = time.Duration((1 + 0.5*u.rng.Float64()) * float64(time.Second))
-	code, retryAfter, raw, err := transport.Once(ctx, u.http, method, "http://daledyke"+path, nil, body)
+	code, retryAfter, raw, err := transport.RequestOnce(ctx, u.http, method, "http://daledyke"+path, nil, body)
 	if err != nil {
 		return 0, "", retryIn
 	}
