--- a/internal/coordination/acks.go
+++ b/internal/coordination/acks.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// answerStaleReport answers a report that is older by its numbers than what was heard. It is a copy, or was
-// delayed so that nobody receives its answer, or its worker restarted and counts from the beginning. A
+// answerStaleReport answers a report whose session, ticket or token is lower than the newest received. It is a
+// copy, or was delayed so that nobody receives its answer, or its worker restarted and counts from the
+// beginning. A
 // restarted worker accepts any earlier command until it gets a token of this holder, so the answer gives it
 // one at once. No other message uses this token: if the next report shows it, the worker restarted; until
 // then the report is ignored. Tasks in the report that are not expected there were started by an earlier
@@ -124,7 +125,7 @@
 }
 
 // noteRestart records that a machine restarted and counts from the beginning: its direct answer has lower
-// numbers than what was heard of it although nothing arrived since the command was sent, or it shows a token
+// numbers than its newest report although nothing arrived since the command was sent, or it shows a token
 // that only a restarted worker was given. Its lease may count from any time before now. (If it counted from
 // the last answer, it could end for this holder while tasks started since still run.) Before the machine is
 // used again it must show a token newer than all before.
--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -168,7 +168,7 @@
 	})
 }
 
-// A command that was never sent, for want of a connection, says nothing of its machine: the tasks to be
+// A command that was never sent, for want of a connection, is no evidence about its machine: the tasks to be
 // started wait on, and no acknowledgement is required. (Otherwise, when many silent machines hold all
 // connections, healthy machines count as receiving nothing.)
 func TestUnsentCommandRequiresNoAck(t *testing.T) {
@@ -302,7 +302,8 @@
 }
 
 // Only reports that a holder has not heard, made since it took the slot, show that its machines report
-// elsewhere; copies of old reports do not. A version that tells of no strays is assumed to have seen some.
+// elsewhere; copies of old reports do not. A sibling whose version sends no such notices is assumed to have
+// received such reports.
 func TestCopiedReportsAreNotStrays(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -83,7 +83,7 @@
 		return "no permit"
 	}
 	delete(w.entries, st.Task)
-	// A reservation has its room already, though tasks that were told to make way may still use it.
+	// The room of a reservation is already set aside, although evicted tasks may still occupy it.
 	if ahead := st.Reserve && st.Ahead; ahead && w.hasReservedAhead(st.Task) {
 		return "kept for another"
 	} else if reserved == nil && !ahead && !h.roomAfterEvictions(w, st).Fits(j.Spec.Need()) {
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -41,7 +41,8 @@
 	})
 }
 
-// mayTellUser reports whether a user is told that a job is cancelled, after all calls in flight have been handled.
+// mayTellUser reports whether a user is told that a job is cancelled, after all calls in flight have been
+// handled.
 func (h *Holder) mayTellUser(job string) bool {
 	h.confirmation(job, time.Now())
 	h.runQueuedAndTick()
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -136,12 +136,12 @@
 
 // Users query all controllers at once, repeat their submissions and cancel, right after a job was accepted
 // and when its last task ends. No later answer may know less than an earlier one, in a calm deployment as
-// well as where answers are lost, news are delayed, the state service is slow or refuses a controller, and
+// well as where answers are lost, records arrive late, the state service is slow or refuses a controller, and
 // controllers crash.
 func TestAnswersNeverContradictEarlierOnes(t *testing.T) {
 	for name, faults := range map[string]func(w *world, step func(string, ...string)){
 		"calm":               func(*world, func(string, ...string)) {},
-		"delayed news":       func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
+		"late records":       func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
 		"lost state answers": func(_ *world, step func(string, ...string)) { step("state-unheard", "0.4") },
 		"late state answers": func(_ *world, step func(string, ...string)) {
 			for range 5 {
--- a/internal/coordination/cancelled_test.go
+++ b/internal/coordination/cancelled_test.go
@@ -250,8 +250,8 @@
 	return ""
 }
 
-// requestStart makes an owner that knows of no cancellation request the start of a task; it reports whether the
-// holder admitted the start.
+// requestStart sends the request of an owner, which has not learned of any cancellation, to start a task. It
+// reports whether the holder admitted the start.
 func (w *cancelSimulation) requestStart(job string, attempt uint64) bool {
 	w.lastToken++
 	a := &AskArgs{Caller: w.c.Name, ID: w.lastToken, Window: 1, Starts: []Start{{Task: protocol.TaskName(job, 0), Attempt: attempt, Machine: faultyMachine}}}
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -21,8 +21,8 @@
 	return protocol.Room{}
 }
 
-// freeRoom is the room left beside all that is or may be on the machine; queued tells whether tasks that wait
-// for room count, too.
+// freeRoom is the room left beside all that is or may be on the machine. If queued is set, tasks that wait for
+// room count too.
 func (h *Holder) freeRoom(w *worker, queued bool) protocol.Room {
 	t, ok := h.machineTypes[w.machineType]
 	if !ok {
@@ -94,8 +94,8 @@
 	return out
 }
 
-// isSettled reports whether no command to the worker is due, or will be before something changes.
-func (h *Holder) isSettled(w *worker) bool {
+// isReconciled reports whether no command to the worker is due, or will be before something changes.
+func (h *Holder) isReconciled(w *worker) bool {
 	for _, e := range w.entries {
 		if e.stopRequested || e.unconfirmed() || e.exited() || h.isJobOver(e.job) {
 			return false
@@ -153,7 +153,7 @@
 	var cmds []protocol.Command
 	if w.verified {
 		if cmds = h.desiredCommands(w, now, mayAct); len(cmds) == 0 && !(mayAct && w.probeDue) {
-			w.settled = mayAct && h.isSettled(w)
+			w.reconciled = mayAct && h.isReconciled(w)
 			return
 		}
 	} else if !mayAct {
--- a/internal/coordination/commands_test.go
+++ b/internal/coordination/commands_test.go
@@ -113,7 +113,7 @@
 }
 
 // Where a direct command got no answer, the answer to a report forgets a task that ended and stops one that
-// is to stop. A task that is saving its progress is not told again.
+// is to stop. A task that is saving its progress gets no second stop.
 func TestAnswerRepeatsUnansweredForgetAndStop(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.jobs["wk-1"] = pendingJob("wk-1")
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -35,7 +35,7 @@
 	quotas atomic.Pointer[quotaSet]
 }
 
-// siblingHolder calls the holder of a sibling over net/rpc. Feed requests block until there are news, so they
+// siblingHolder calls the holder of a sibling over net/rpc. Feed requests block until there is a change, so they
 // have a connection of their own.
 type siblingHolder struct {
 	feeds, requests *transport.Peer
@@ -86,9 +86,9 @@
 		k.holder.announcers = append(k.holder.announcers, peer)
 	}
 	k.owner = NewOwner(ctx, c, k.session, k.store, holders, k.addFinalJob,
-		func(job string, op placement.Verdict) { k.holder.tell(func() { k.holder.setOpinion(job, op) }) }, lenders)
-	k.owner.handleStray = func(s board.Stray, told bool, heard time.Time) {
-		k.holder.tell(func() { k.holder.noteMisrouted(s, told, heard) })
+		func(job string, op placement.Verdict) { k.holder.tell(func() { k.holder.setVerdict(job, op) }) }, lenders)
+	k.owner.handleMisrouted = func(s board.Stray, detailed bool, receivedAt time.Time) {
+		k.holder.tell(func() { k.holder.noteMisrouted(s, detailed, receivedAt) })
 	}
 	k.leader = NewLeader(ctx, c, k.session, k.store, transport.NewCloud(dial, c.Services.Cloud, d.Cloud.RPS*0.8), k.owner, holders)
 	if c.Quotas != nil {
@@ -129,20 +129,19 @@
 	k.replica.Run(ctx)
 }
 
-// maxServedLag is how much later the state service may have answered a sibling than this controller before
-// this controller reports itself unhealthy; each watch gets an answer at least every 3 s. isolationTimeout is
-// how long both the state service and all siblings must be silent before this controller considers itself cut
-// off.
+// maxServedLag is how long the state service may serve siblings but not this controller before this controller
+// reports itself unhealthy; each watch gets an answer at least every 3 s. isolationTimeout is how long both the
+// state service and all siblings must be silent before this controller considers itself cut off.
 const (
 	maxServedLag     = 5 * time.Second
 	isolationTimeout = 6 * time.Second
 )
 
-// Healthy reports whether this controller can take requests of users. A short outage of the state service
-// affects all controllers and is no reason to turn users away. Being the only controller that the state
-// service refuses is a reason, and so is being cut off from both the state service and all siblings: a
-// controller that reached only its workers took a third of the requests of users, since nothing told it that
-// the state service answered the others.
+// Healthy reports whether this controller can take requests of users. During a short outage of the state
+// service, which affects all controllers, they stay healthy. A controller is unhealthy if the state service
+// serves its siblings but not itself, or if it is cut off from both the state service and all siblings.
+// Without the second condition, a controller that reached only its workers went on taking a third of the
+// requests of users, since it could not learn that the state service answered the others.
 func (k *Controller) Healthy() bool {
 	if !k.loaded.Load() {
 		return false
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// A leader asks to drain machines that it believes to be idle. The request fails for a machine that has got a
+// A leader asks to drain machines that it considers idle. The request fails for a machine that has got a
 // task meanwhile, and ends when the leader drops the machine. A request with a lower number than the last one
 // has no effect.
 func TestDrainRequests(t *testing.T) {
@@ -264,7 +264,7 @@
 		t.Errorf("a former leader's request took effect: %v", got)
 	}
 	h.drain(&DrainArgs{Wish: 101, Machines: []string{"host-1"}})
-	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.workersByID["host-1"].drainWish != 100 {
+	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.workersByID["host-1"].drainSequence != 100 {
 		t.Errorf("draining: %v", got)
 	}
 }
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// addReportedMachine adds a holder's view of a machine; it tells whether the machine is available for
+// addReportedMachine adds a holder's view of a machine; it reports whether the machine is available for
 // planning.
 func (o *Owner) addReportedMachine(st *fleetState, id string, m *board.Machine) bool {
 	st.seen[id] = true
@@ -143,7 +143,7 @@
 // siblingDoubtTimeout is how long a controller may be silent before no slot is moved to it.
 const siblingDoubtTimeout = 4 * time.Second
 
-// ringLoad is the load of each slot, and which controllers are doubted.
+// ringLoad is the load of each slot, and which controllers are unresponsive.
 func (o *Owner) ringLoad(now time.Time) ring.Load {
 	l := ring.Load{Slots: make([]float64, o.slots), Unresponsive: map[string]bool{}}
 	for n := range l.Slots {
@@ -170,7 +170,7 @@
 	rates, waitingForImage := o.completionRates(now), map[string]int{}
 	limits := o.remainingTeamLimits()
 	for _, js := range o.activeJobsByUrgency() {
-		if js.job.Waits > 0 || js.opinion == placement.AtFault {
+		if js.job.Waits > 0 || js.verdict == placement.AtFault {
 			continue // no capacity is kept from other work for a job that is expected to fail
 		}
 		s := js.job.Spec
@@ -181,7 +181,7 @@
 		if allowance := limits[s.Team]; allowance != nil {
 			missing = allowance.Take(s, missing)
 		}
-		if n, bound := affordable[s.ID]; bound {
+		if n, limited := affordable[s.ID]; limited {
 			missing = min(missing, n)
 		}
 		if missing <= 0 {
--- a/internal/coordination/failures.go
+++ b/internal/coordination/failures.go
@@ -27,28 +27,28 @@
 	h.judgeMachine(w)
 }
 
-// judgeMachine updates the doubt and the suspicion of a machine.
+// judgeMachine updates whether a machine is quarantined and whether it is suspect.
 func (h *Holder) judgeMachine(w *worker) {
-	var opinions []placement.Verdict
+	var verdicts []placement.Verdict
 	for job := range w.failedJobs {
-		j, opinion := h.jobs[job], h.opinions[job]
+		j, verdict := h.jobs[job], h.verdicts[job]
 		switch {
 		case j != nil && j.State == protocol.Done:
-			opinion = placement.NotAtFault
+			verdict = placement.NotAtFault
 		case j != nil && j.Final():
-			delete(w.failedJobs, job) // cancelled: its opinion will never be known
+			delete(w.failedJobs, job) // cancelled: its verdict will never be known
 			continue
 		}
-		opinions = append(opinions, opinion)
+		verdicts = append(verdicts, verdict)
 	}
-	doubted := time.Duration(0)
+	quarantinedFor := time.Duration(0)
 	if !w.quarantinedSince.IsZero() {
-		doubted = time.Since(w.quarantinedSince)
+		quarantinedFor = time.Since(w.quarantinedSince)
 	}
-	doubt, suspect := placement.JudgeMachine(opinions, doubted)
-	if doubt != !w.quarantinedSince.IsZero() {
+	quarantine, suspect := placement.JudgeMachine(verdicts, quarantinedFor)
+	if quarantine != !w.quarantinedSince.IsZero() {
 		w.quarantinedSince = time.Time{}
-		if doubt {
+		if quarantine {
 			w.quarantinedSince = time.Now()
 		}
 		h.markChanged(w)
@@ -56,16 +56,16 @@
 	if suspect != w.suspect {
 		w.suspect = suspect
 		h.markChanged(w)
-		slog.Info("machine judged", "machine", w.id, "suspect", suspect, "failed", len(opinions))
+		slog.Info("machine judged", "machine", w.id, "suspect", suspect, "failed", len(verdicts))
 	}
 }
 
-// setOpinion stores the opinion of a job and judges the machines where it failed again.
-func (h *Holder) setOpinion(job string, opinion placement.Verdict) {
+// setVerdict stores the verdict on a job and judges the machines where it failed again.
+func (h *Holder) setVerdict(job string, verdict placement.Verdict) {
 	if j := h.jobs[job]; j == nil || j.Final() {
 		return
 	}
-	h.opinions[job] = opinion
+	h.verdicts[job] = verdict
 	for _, w := range h.workersByID {
 		if w.failedJobs[job] {
 			h.judgeMachine(w)
@@ -89,33 +89,33 @@
 	}
 }
 
-// judgeJobs updates the opinions of the failing jobs.
+// judgeJobs updates the verdicts on the failing jobs.
 func (o *Owner) judgeJobs(now time.Time) {
 	for id, js := range o.failingJobs {
 		if o.active[id] != js {
 			delete(o.failingJobs, id)
 			continue
 		}
-		previous := js.opinion
+		previous := js.verdict
 		if previous == placement.NotAtFault {
 			continue
 		}
-		js.opinion = placement.JudgeJob(js.failedOn, o.hasSucceeded(js, now))
-		if js.opinion == previous {
+		js.verdict = placement.JudgeJob(js.failedOn, o.hasSucceeded(js, now))
+		if js.verdict == previous {
 			continue
 		}
-		if js.opinion == placement.AtFault {
+		if js.verdict == placement.AtFault {
 			slog.Info("job fails everywhere", "job", id, "machines", len(js.failedOn))
 			js.trialCount, js.nextTrialAt = 0, now.Add(placement.MinRetryBackoff)
 		} else if previous == placement.AtFault {
 			slog.Info("job fails no longer", "job", id)
 		}
 		js.stale = true
-		o.publishOpinion(id, js.opinion)
+		o.publishVerdict(id, js.verdict)
 	}
 }
 
-// hasSucceeded tells whether a task of the job was completed, or has run for long enough.
+// hasSucceeded reports whether a task of the job was completed, or has run for long enough.
 func (o *Owner) hasSucceeded(js *jobState, now time.Time) bool {
 	if js.job.DoneCount() > 0 {
 		return true
@@ -130,10 +130,10 @@
 	return false
 }
 
-// trialAllowed tells whether tasks of a job may be started now: of a job at fault one at a time (all of a
+// trialAllowed reports whether tasks of a job may be started now: of a job at fault one at a time (all of a
 // gang), at growing intervals.
 func (o *Owner) trialAllowed(js *jobState, now time.Time) bool {
-	if js.opinion != placement.AtFault {
+	if js.verdict != placement.AtFault {
 		return true
 	}
 	anyInstance := len(js.pending) > 0
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -9,7 +9,7 @@
 	"daledyke/internal/protocol"
 )
 
-// The feed, by which a holder tells all controllers of its machines.
+// The feed, by which a holder reports its machines to all controllers.
 
 // feed answers a feed request, after a wait if nothing changed.
 func (h *Holder) feed(a FeedArgs, r *board.News) error {
@@ -39,8 +39,8 @@
 				return h.ctx.Err()
 			}
 		}
-		// Not into *r itself: if the controller ends, the actor may still write after the reply is on its
-		// way.
+		// The actor does not write into *r itself: if the controller ends, it might do so while the reply is
+		// being sent.
 		reply, ok := askFor(h.ctx, &h.actor, func() board.News { return h.newsSince(a) })
 		if !ok {
 			return h.ctx.Err()
@@ -68,7 +68,8 @@
 		r.Window = h.window.Number
 	}
 	if !r.Entitled {
-		// Others may hold the slots: nothing is said of them, and the caller stays at its version.
+		// Others may hold the slots, so the reply contains nothing about them and leaves the caller at the
+		// version that it has.
 		r.Incarnation, r.Version = a.Incarnation, a.Since
 		return r
 	}
@@ -103,7 +104,7 @@
 		Free: h.freeRoom(w, true), Usable: h.startable(w), Silent: w.unresponsive || w.lapsed, Suspect: w.suspect, Leaving: w.reclaimNotice}
 	if time.Now().Before(w.drainUntil) {
 		if v.Vacates = w.vacating; len(w.entries) == 0 && !w.commandInFlight {
-			v.Drained = w.drainWish
+			v.Drained = w.drainSequence
 		}
 	}
 	v.Sound = time.Since(w.lastSuccess) < placement.SoundFor
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if name != o.cfg.Name && (news.Stray.Machine != "" || !news.TellsStrays) {
-			o.handleStray(news.Stray, news.TellsStrays, time.Now())
+			o.handleMisrouted(news.Stray, news.TellsStrays, time.Now())
 		}
 		// The actor may run the function after followFeed has stopped waiting (its controller ends), so the
 		// two share no variable.
@@ -126,8 +126,8 @@
 	if name != ps.holder || !o.outcomeShown(ps, name, news.Incarnation, news.Version) {
 		return false
 	}
-	// A start of unknown outcome is void once the holder has promised to refuse the request, unless the board
-	// shows it.
+	// A start of unknown outcome is void once the holder has adopted a fence that refuses the request, unless
+	// the board shows the start.
 	return ps.acked || ps.outcomeUnknown && args.Fence > ps.requestID
 }
 
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -78,7 +78,7 @@
 	}
 	clear(js.retryAt)
 	js.incompleteSince = time.Time{}
-	if js.opinion == placement.AtFault {
+	if js.verdict == placement.AtFault {
 		js.scheduleNextTrial(now)
 	}
 	if !o.teamLimitAllows(js, s.Tasks) {
@@ -179,7 +179,7 @@
 // the gang's permits are for, 0 if any will do.
 func (o *Owner) reserveInAdvance(js *jobState, zones []string, attempt uint64, now time.Time, rq requests) {
 	s := js.job.Spec
-	if waited := now.Sub(js.job.Ready); waited < placement.MachineReservationAfter || js.opinion == placement.AtFault || now.Sub(js.advanceSince) < placement.LimitReservationDuration+placement.LimitReservationGap {
+	if waited := now.Sub(js.job.Ready); waited < placement.MachineReservationAfter || js.verdict == placement.AtFault || now.Sub(js.advanceSince) < placement.LimitReservationDuration+placement.LimitReservationGap {
 		return
 	}
 	var machines []*board.Machine
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -14,8 +14,8 @@
 	"daledyke/internal/transport"
 )
 
-// Holder is the only controller that speaks for the machines of the slots it holds: it receives their
-// reports, sends them commands and tells other controllers what is on them.
+// Holder is the only controller that manages the machines of the slots it holds: it receives their reports,
+// sends them commands and reports to other controllers what is on them.
 type Holder struct {
 	actor
 	cfg     *config.Config
@@ -52,12 +52,12 @@
 	// sessionsLost counts the sessions that ended.
 	sessionsLost int
 	// releasing holds the slots given up whose records do not show it yet.
-	releasing        map[int]*heldSlot
-	writingSlots     bool
-	lastDrainWish    uint64                       // the newest drain request (DrainArgs.Wish)
-	opinions         map[string]placement.Verdict // of jobs that failed on some machine
-	foundBatches     uint64                       // batches of unregistered machines that this holder registered
-	registeringFound bool
+	releasing         map[int]*heldSlot
+	writingSlots      bool
+	lastDrainSequence uint64                       // of the newest drain request (DrainArgs.Wish)
+	verdicts          map[string]placement.Verdict // of jobs that failed on some machine
+	foundBatches      uint64                       // batches of unregistered machines that this holder registered
+	registeringFound  bool
 	// checkingReachability: most workers went silent together. The holder is finding out whether they can't
 	// reach this controller, or has found that they can't and waits for them.
 	checkingReachability bool
@@ -144,7 +144,7 @@
 		slots:            map[int]*heldSlot{},
 		workersByID:      map[string]*worker{},
 		changedJobs:      map[string]bool{},
-		opinions:         map[string]placement.Verdict{},
+		verdicts:         map[string]placement.Verdict{},
 		releasing:        map[int]*heldSlot{},
 		versionChanged:   make(chan struct{}),
 		fences:           map[string]protocol.Token{},
@@ -168,7 +168,7 @@
 	return h.version
 }
 
-func (h *Holder) markChanged(w *worker) { w.version, w.settled = h.bumpVersion(), false }
+func (h *Holder) markChanged(w *worker) { w.version, w.reconciled = h.bumpVersion(), false }
 
 func (h *Holder) learnWindow(w *bookkeeping.Window) {
 	if w != nil && (h.latestWindow == nil || w.Number > h.latestWindow.Number) {
@@ -235,7 +235,7 @@
 	h.dropWorker(id)
 }
 
-// dropWorker forgets a machine's worker, and has the feed say that the machine is gone.
+// dropWorker forgets a machine's worker, and has the feed report that the machine is gone.
 func (h *Holder) dropWorker(id string) {
 	w := h.workersByID[id]
 	if w == nil {
@@ -262,7 +262,7 @@
 	if !j.Final() {
 		return
 	}
-	delete(h.opinions, j.Spec.ID)
+	delete(h.verdicts, j.Spec.ID)
 	if old != nil && old.Final() {
 		return
 	}
@@ -286,7 +286,7 @@
 	}
 }
 
-// maxRecordsGap is the longest gap in the news of the records within which no change was missed: the state
+// maxRecordsGap is the longest gap in the updates of the records within which no change was missed: the state
 // service keeps the changes of a longer time. After a longer gap the records may have been read afresh.
 const maxRecordsGap = 30 * time.Second
 
--- a/internal/coordination/job_status.go
+++ b/internal/coordination/job_status.go
@@ -7,13 +7,13 @@
 	"daledyke/internal/bookkeeping"
 )
 
-// The state of jobs, as their owner tells users and other parts of the controller.
+// The state of jobs, as reported to users and other parts of the controller.
 
 // jobStatus is what a controller knows of a job.
 type jobStatus struct {
 	job     *bookkeeping.Job
 	running int
-	// reason tells why no task runs, and startsIn the seconds until one is expected to, if known.
+	// reason is why no task runs, and startsIn the seconds until one is expected to, if known.
 	reason   string
 	startsIn *float64
 }
--- a/internal/coordination/messages.go
+++ b/internal/coordination/messages.go
@@ -5,8 +5,7 @@
 	"daledyke/internal/quota"
 )
 
-// FeedArgs ask a holder for all that changed since a version, and promise that older requests of the caller
-// are void.
+// FeedArgs asks a holder for all that changed since a version, and voids older requests of the caller.
 type FeedArgs struct {
 	Caller string
 	// Fence: the holder must refuse requests of the caller with a lower number from now on. Its high bits are
--- a/internal/coordination/moratorium.go
+++ b/internal/coordination/moratorium.go
@@ -60,7 +60,7 @@
 // that sibling.
 type OwedArgs struct{ Caller string }
 
-// OwedReply contains how long that moratorium may still bind the caller.
+// OwedReply contains how long that moratorium may still apply to the caller.
 type OwedReply struct{ ForMs int64 }
 
 // MoratoriumCaller calls a sibling that may grant a moratorium or may hold one granted earlier.
@@ -93,7 +93,7 @@
 }
 
 // learnOutstandingGrants asks each sibling how long the moratoria that the predecessor process may have
-// granted still bind this process. Without the replies, every restart would delay confirmations of
+// granted still apply to this process. Without the replies, every restart would delay confirmations of
 // cancellations and takeovers for the whole recovery period of 13 s.
 func (h *Holder) learnOutstandingGrants() {
 	answered := make([]bool, len(h.moratoriumPeers))
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -29,8 +29,8 @@
 	}
 	var candidate *board.Instance
 	for index, list := range o.board.Tasks[s.ID] {
-		sh := js.ownedBlockOf(index)
-		if sh == nil || !sh.priorStartsKnown {
+		owned := js.ownedBlockOf(index)
+		if owned == nil || !owned.priorStartsKnown {
 			return
 		}
 		var reservation, current *board.Instance
@@ -96,7 +96,7 @@
 // maxMoveFetch is the longest image fetch accepted for a move.
 const maxMoveFetch = 10 * time.Second
 
-// runsService tells whether a machine runs a service, which keeps it in the fleet.
+// runsService reports whether a machine runs a service, which keeps it in the fleet.
 func (o *Owner) runsService(m *board.Machine) bool {
 	for _, i := range m.Instances {
 		if js := o.jobs[i.Job]; js != nil && !i.Exited() && js.job.Spec.Shape == protocol.Service {
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -47,7 +47,7 @@
 	rosters            map[int]bookkeeping.Roster
 	removedMachines    recentNames // machines that were dropped from the registry
 
-	windows          []*bookkeeping.Window // consecutive windows that were obeyed, bounded in number
+	windows          []*bookkeeping.Window // consecutive windows that were adopted, bounded in number
 	latestWindow     *bookkeeping.Window
 	gainRevisions    map[uint64]uint64 // by gain window: former owners started no job created after this revision
 	fetchingRevision map[uint64]bool
@@ -55,13 +55,13 @@
 	seq      uint64
 	inFlight map[string]bool // holders with a request in progress
 	peers    map[string]*peerState
-	// handleStray receives a sibling's report of a machine of this controller that reported to the sibling.
-	// reportsStrays is false for a sibling whose version does not report them.
-	handleStray func(s board.Stray, reportsStrays bool, heard time.Time)
-	// failingJobs are active jobs with failed tasks. publishOpinion passes on the opinion of a job.
+	// handleMisrouted receives a sibling's notice that a machine of this controller reported to the sibling.
+	// detailed is false for a sibling whose version sends no such notices.
+	handleMisrouted func(s board.Stray, detailed bool, receivedAt time.Time)
+	// failingJobs are active jobs with failed tasks. publishVerdict passes on the verdict on a job.
 	failingJobs    map[string]*jobState
 	judgedAt       time.Time
-	publishOpinion func(job string, o placement.Verdict)
+	publishVerdict func(job string, o placement.Verdict)
 
 	// writingFinal and writingPartial: a write of results that end jobs, or of other results, is in progress.
 	writingFinal, writingPartial bool
@@ -101,8 +101,8 @@
 
 	quotas quotas
 
-	// siblingSessionValid: some sibling reports that its session is valid. siblingHeard: some sibling was
-	// heard of recently. siblingServedMs is when the state service last served a request of any sibling, in
+	// siblingSessionValid: some sibling reports that its session is valid. siblingHeard: some sibling
+	// answered recently. siblingServedMs is when the state service last served a request of any sibling, in
 	// Unix milliseconds.
 	siblingSessionValid, siblingHeard atomic.Bool
 	siblingServedMs                   atomic.Int64
@@ -122,8 +122,8 @@
 	// firstSeen is when this controller first saw the job, readyAt when it saw that all jobs it needs are
 	// done.
 	firstSeen, readyAt time.Time
-	// shares are the blocks of its tasks that this controller places, in order.
-	shares []*ownedBlock
+	// ownedBlocks are the blocks of its tasks that this controller places, in order.
+	ownedBlocks []*ownedBlock
 	// gainWindow is the window since which this controller has owned the job itself without a break, 0 if it
 	// does not own it. The job's owner has its first block, records its results and ends it.
 	gainWindow uint64
@@ -131,9 +131,9 @@
 	retryAt    map[int]time.Time
 	errorCount int
 	// failedOn are the machines on which tasks of the job failed, each with whether it was sound otherwise.
-	// opinion is the resulting opinion of the job.
+	// verdict is the resulting verdict on the job.
 	failedOn    map[string]bool
-	opinion     placement.Verdict
+	verdict     placement.Verdict
 	trialCount  int
 	nextTrialAt time.Time
 	// incompleteSince is since when a running gang has lacked a task.
@@ -144,8 +144,8 @@
 	// is when these reservations were last renewed.
 	advanceSince, advanceRenewedAt time.Time
 
-	// stale: something changed since the last reconcile. missing is how many tasks of settled blocks the last
-	// reconcile found neither done nor started nor requested.
+	// stale: something changed since the last reconcile. missing is how many tasks the last reconcile
+	// found neither done nor started nor requested, in blocks whose prior starts are known.
 	stale        bool
 	reconciledAt time.Time
 	recordedAt   time.Time
@@ -159,10 +159,10 @@
 }
 
 // NewOwner creates an owner; Run starts it.
-func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, addFinalJob func(*bookkeeping.Job), publishOpinion func(string, placement.Verdict), lenders map[string]LendCaller) *Owner {
+func NewOwner(ctx context.Context, c *config.Config, session *Session, store *bookkeeping.Store, holders map[string]HolderCaller, addFinalJob func(*bookkeeping.Job), publishVerdict func(string, placement.Verdict), lenders map[string]LendCaller) *Owner {
 	newBoard := board.New()
 	newBoard.StartCommandLifetime = commandLifetime(c)
-	return &Owner{quotas: newQuotas(c.Quotas, lenders), actor: newActor(ctx), cfg: c, session: session, store: store, holders: holders, addFinalJob: addFinalJob, publishOpinion: publishOpinion,
+	return &Owner{quotas: newQuotas(c.Quotas, lenders), actor: newActor(ctx), cfg: c, session: session, store: store, holders: holders, addFinalJob: addFinalJob, publishVerdict: publishVerdict,
 		slots: ring.SlotCount(len(c.Siblings) + 1), board: newBoard, machineTypes: map[string]protocol.MachineType{},
 		jobs: map[string]*jobState{}, active: map[string]*jobState{}, unresolved: map[string]*jobState{},
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), registeredMachines: map[string]*bookkeeping.Machine{},
@@ -263,7 +263,7 @@
 
 const (
 	planInterval = 100 * time.Millisecond
-	// reconcileInterval is how often a job without news is reconciled.
+	// reconcileInterval is how often a job without changes is reconciled.
 	reconcileInterval = time.Second
 )
 
@@ -313,7 +313,7 @@
 	var ready []*jobState
 	var outcomes []bookkeeping.Outcome
 	for _, js := range o.active {
-		if len(js.shares) == 0 || js.job.Waits > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
+		if len(js.ownedBlocks) == 0 || js.job.Waits > 0 && len(o.board.Tasks[js.job.Spec.ID]) == 0 {
 			continue // thousands of jobs may wait for others
 		}
 		if js.stale || now.Sub(js.reconciledAt) >= reconcileInterval {
@@ -373,7 +373,7 @@
 	return cmp.Or(o.startDeadline(a).Compare(o.startDeadline(b)), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 }
 
-// addPendingStarts sums up, by machine, the room promised to starts that the board does not show yet.
+// addPendingStarts sums up, by machine, the room requested for starts that the board does not show yet.
 func (o *Owner) addPendingStarts() {
 	for _, m := range o.board.Machines {
 		m.RequestedRoom = protocol.Room{}
--- a/internal/coordination/placing.go
+++ b/internal/coordination/placing.go
@@ -41,12 +41,12 @@
 		p.AvoidScarce = time.Since(js.job.Ready) < o.startObjective(s.Class, 0)+ready
 	}
 	if p.Expensive = placement.ExpensiveTypes(s, o.machineTypes); p.Expensive != nil {
-		// A task that is late already waits for a machine that costs less, as long as the cloud may have some.
+		// A task that is already late waits for a machine that costs less, as long as the cloud may have one.
 		ready, _ := fleet.FastestReady(o.machineTypes, s, s.ImageGB)
 		aim, waited := o.startObjective(s.Class, 0), time.Since(js.job.Ready)
 		p.AvoidExpensive = waited > aim && waited < aim+2*ready && o.obtainable(s, p.Expensive)
 	}
-	if js.opinion == placement.AtFault {
+	if js.verdict == placement.AtFault {
 		p.Avoid = nil // no machine is to blame
 	}
 	p.TasksByZone = map[string]int{}
@@ -142,7 +142,7 @@
 	}
 }
 
-// teamLimitAllows tells whether the team's limit leaves room for more tasks of the job. All jobs of a limited
+// teamLimitAllows reports whether the team's limit leaves room for more tasks of the job. All jobs of a limited
 // team have one owner, whose board and pending starts show all that may be running.
 func (o *Owner) teamLimitAllows(js *jobState, more int) bool {
 	t := o.cfg.Team(js.job.Spec.Team)
@@ -163,7 +163,7 @@
 	return t.Admits(total)
 }
 
-// blockedByTurn tells whether a job has to wait because it is the turn of a larger job of its team, which
+// blockedByTurn reports whether a job has to wait because it is the turn of a larger job of its team, which
 // still waits.
 func (o *Owner) blockedByTurn(js *jobState, team string) bool {
 	t := o.turns[team]
@@ -171,7 +171,7 @@
 		return false
 	}
 	other := o.active[t.Job]
-	return other != nil && other.missing > 0 && len(other.shares) > 0
+	return other != nil && other.missing > 0 && len(other.ownedBlocks) > 0
 }
 
 // placeJob starts the missing tasks of a job as far as there is room. It returns for how many it searched a
@@ -226,7 +226,7 @@
 		}
 		o.addStart(js, index, o.attemptNumber(permit), c, false, rq)
 		p.TasksByZone[c.Machine.Zone]++
-		if js.opinion == placement.AtFault {
+		if js.verdict == placement.AtFault {
 			js.scheduleNextTrial(now)
 			break
 		}
@@ -234,16 +234,16 @@
 	return searched
 }
 
-// remainingTasks yields the tasks of settled blocks in which some are neither done nor started.
+// remainingTasks yields the tasks of the blocks that have missing tasks and whose prior starts are known.
 func (js *jobState) remainingTasks(yield func(int) bool) {
-	for _, sh := range js.shares {
-		if !sh.priorStartsKnown || sh.missing <= 0 {
+	for _, owned := range js.ownedBlocks {
+		if !owned.priorStartsKnown || owned.missing <= 0 {
 			continue
 		}
-		for sh.doneBefore < sh.end && js.job.TaskDone(sh.doneBefore) {
-			sh.doneBefore++
+		for owned.doneBefore < owned.end && js.job.TaskDone(owned.doneBefore) {
+			owned.doneBefore++
 		}
-		for index := sh.doneBefore; index < sh.end; index++ {
+		for index := owned.doneBefore; index < owned.end; index++ {
 			if !yield(index) {
 				return
 			}
@@ -304,7 +304,7 @@
 	return o.wantedImageSet
 }
 
-// evictsOnlyFiller tells whether a choice evicts nothing but filler work.
+// evictsOnlyFiller reports whether a choice evicts nothing but filler work.
 func (o *Owner) evictsOnlyFiller(c *placement.Choice) bool {
 	for _, task := range c.Evict {
 		job, _, _ := protocol.SplitTask(task)
@@ -319,7 +319,7 @@
 // best machine with room (nil: none).
 func (o *Owner) findPreemption(js *jobState, p *placement.Placer, free *board.Machine, now time.Time) (placement.Choice, bool) {
 	s := js.job.Spec
-	if js.opinion == placement.AtFault {
+	if js.verdict == placement.AtFault {
 		return placement.Choice{}, false // nothing is preempted for a job that is expected to fail
 	}
 	var usage map[string]protocol.Room
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// applyReply takes in an authority's reply.
+// applyReply applies an authority's reply: permits, limiting accounts and tasks that have to stop.
 func (o *Owner) applyReply(r *quota.Request, reply *quota.Reply, now time.Time) {
 	if r.Term != o.session.Term() {
 		return // the next request does not list these permits as held, which returns them
@@ -165,7 +165,7 @@
 	}
 	for n, want := range r.Wants {
 		js := o.active[want.Job]
-		if js == nil || len(js.shares) == 0 || n >= len(reply.Binds) {
+		if js == nil || len(js.ownedBlocks) == 0 || n >= len(reply.Binds) {
 			continue
 		}
 		js.limitingAccount = reply.Binds[n]
@@ -231,9 +231,9 @@
 }
 
 // limitingAccount returns the account whose limit prevents more of a job from starting, or "". For this
-// owner's jobs it is what the authority said; for other owners' jobs it is derived from the board.
+// owner's jobs it is what the authority reported; for other owners' jobs it is derived from the board.
 func (o *Owner) limitingAccount(js *jobState, now time.Time) string {
-	if len(js.shares) > 0 || js.job.Final() || o.account(js) == "" {
+	if len(js.ownedBlocks) > 0 || js.job.Final() || o.account(js) == "" {
 		return js.limitingAccount
 	}
 	need := js.job.Spec.Need()
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -34,7 +34,7 @@
 	withPermits map[string]*jobState
 	// orphanedStarts are starts in flight whose job has ended since.
 	orphanedStarts map[quota.Attempt]*pendingStart
-	// yielding are the tasks that authorities told to stop.
+	// yielding are the tasks that have to stop because authorities reclaim their quota.
 	yielding map[string]bool
 	// usage is the use of all accounts according to the board, as of usageAt.
 	usage   *quota.Ledger
@@ -48,7 +48,7 @@
 	// before the job asks for permits again.
 	permitTTL     = 3 * time.Second
 	permitBackoff = 2 * time.Second
-	// deniedBackoff is the pause before a denied want is made again.
+	// deniedBackoff is the pause before a job whose permits were denied asks for them again.
 	deniedBackoff = 500 * time.Millisecond
 	// borrowInterval is the time between requests to an authority when nothing is wanted. Such a request
 	// returns permits that are no longer held, and its reply names tasks that have to stop.
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -15,7 +15,7 @@
 // SeatFor returns the position of a job on the ring. A job that uses a resource in which its team is limited
 // is placed as a whole at the position of the team, so that one controller grants everything that the team
 // may use (invariant 7). A job that uses no such resource needs no grant and is placed by its id: when such
-// jobs stood at the position of their team too and every team had a GPU limit, all work stood at six
+// jobs were placed at the position of their team too and every team had a GPU limit, all work was at six
 // positions, including work without GPUs.
 func SeatFor(c *config.Config, s *protocol.JobSpec) bookkeeping.Seat {
 	t, teamToken := c.Team(s.Team), protocol.RingToken(s.Team)
@@ -47,15 +47,15 @@
 
 // ownedBlockOf returns the owned block that holds a task, nil if this controller does not own the task.
 func (js *jobState) ownedBlockOf(index int) *ownedBlock {
-	if len(js.shares) == 0 {
+	if len(js.ownedBlocks) == 0 {
 		return nil
 	}
 	block := js.job.BlockOf(index)
-	at, found := slices.BinarySearchFunc(js.shares, block, func(s *ownedBlock, block int) int { return cmp.Compare(s.block, block) })
+	at, found := slices.BinarySearchFunc(js.ownedBlocks, block, func(s *ownedBlock, block int) int { return cmp.Compare(s.block, block) })
 	if !found {
 		return nil
 	}
-	return js.shares[at]
+	return js.ownedBlocks[at]
 }
 
 // owns reports whether this controller places a task.
@@ -147,7 +147,7 @@
 	if !changed {
 		return
 	}
-	js.shares, js.gainWindow, js.stale = blocks, 0, true
+	js.ownedBlocks, js.gainWindow, js.stale = blocks, 0, true
 	if len(blocks) > 0 && blocks[0].block == 0 {
 		js.gainWindow = blocks[0].gainWindow
 	}
@@ -155,14 +155,14 @@
 
 // allPriorStartsKnown reports whether every task that may run in the owned blocks of the job is known.
 func (js *jobState) allPriorStartsKnown() bool {
-	return !slices.ContainsFunc(js.shares, func(s *ownedBlock) bool { return !s.priorStartsKnown })
+	return !slices.ContainsFunc(js.ownedBlocks, func(s *ownedBlock) bool { return !s.priorStartsKnown })
 }
 
 // noteCompleteSlots records which slots are complete according to news that were requested after the job was
 // known.
 func (o *Owner) noteCompleteSlots(js *jobState, args *FeedArgs, news *board.News) {
 	var last *ownership
-	for _, owned := range js.shares {
+	for _, owned := range js.ownedBlocks {
 		if owned.priorStartsKnown || owned.ownership == last { // blocks gained in the same window are mostly adjacent
 			continue
 		}
@@ -184,8 +184,8 @@
 	return o.unbrokenSince(o.window().SameOwners)
 }
 
-// learnNewJobRevision reads the revision after which every created job is new to all controllers, because all
-// holders had promised by then to obey only the current owners. It does so for the first window with these
+// learnNewJobRevision reads the revision after which every created job is new to all controllers, because by
+// then all holders accepted requests of the current owners only. It does so for the first window with these
 // owners, since no part of a range was gained later.
 func (o *Owner) learnNewJobRevision() {
 	window := o.ownersUnchangedSince()
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -12,8 +12,9 @@
 // This file detects whether workers can reach this controller. A controller that they cannot reach gives up its
 // slots to others.
 
-// reachabilityProbeInterval is how often a controller that its workers cannot reach checks whether they are reachable again.
-// After maxUnreachable it requests workers regardless, since those that it knew may be gone.
+// reachabilityProbeInterval is how often a controller that its workers cannot reach checks whether they are
+// reachable again. After maxUnreachable it stops checking and counts as reachable, since the workers that it
+// knew may be gone.
 const (
 	reachabilityProbeInterval = 5 * time.Second
 	maxUnreachable            = 4 * time.Minute
@@ -119,7 +120,7 @@
 
 // noteMisrouted handles a sibling's notice of a report that it received from a machine of this holder. Only a
 // report newer than those received here is evidence, because copies of old reports may arrive at any controller.
-// detailed tells whether the notice describes the report.
+// detailed is false if the sibling's version sends no such notices.
 func (h *Holder) noteMisrouted(stray board.Stray, detailed bool, receivedAt time.Time) {
 	if !detailed {
 		h.reportedElsewhereAt = receivedAt // the previous version sends no details: assume a newer report
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -122,18 +122,18 @@
 func (o *Owner) reconcile(js *jobState, now time.Time, rq requests) (out bookkeeping.Outcome) {
 	j := js.job
 	out.Job = j
-	for _, sh := range js.shares {
-		sh.missing = sh.end - sh.first - j.DoneIn(sh.first, sh.end)
+	for _, owned := range js.ownedBlocks {
+		owned.missing = owned.end - owned.first - j.DoneIn(owned.first, owned.end)
 	}
 	for index := range js.pending {
-		if sh := js.ownedBlockOf(index); sh != nil {
-			sh.missing--
+		if owned := js.ownedBlockOf(index); owned != nil {
+			owned.missing--
 		}
 	}
 	for index, list := range o.board.Tasks[j.Spec.ID] {
-		sh := js.ownedBlockOf(index)
-		if begun := j.Spec.Shape != protocol.Gang || list[0].Begun(); sh != nil && begun && !j.TaskDone(index) && js.pending[index] == nil {
-			sh.missing--
+		owned := js.ownedBlockOf(index)
+		if begun := j.Spec.Shape != protocol.Gang || list[0].Begun(); owned != nil && begun && !j.TaskDone(index) && js.pending[index] == nil {
+			owned.missing--
 		}
 		var oldest *board.Instance
 		for _, i := range list {
@@ -144,7 +144,7 @@
 						out.Tasks = append(out.Tasks, index)
 						o.noteRunTime(js, i, now)
 					}
-				} else if sh != nil {
+				} else if owned != nil {
 					o.handleExit(js, index, i, now, rq)
 				}
 				continue
@@ -156,15 +156,15 @@
 		for _, i := range list {
 			// The protocol never starts a task twice; if two instances exist nevertheless, the younger one is
 			// stopped.
-			if sh != nil && !i.Exited() && i.State != board.TaskReserved && (i != oldest && len(list) > 1 || j.TaskDone(index)) {
+			if owned != nil && !i.Exited() && i.State != board.TaskReserved && (i != oldest && len(list) > 1 || j.TaskDone(index)) {
 				o.requestStop(i, 0, now, rq)
 			}
 		}
 	}
 	js.missing = 0
-	for _, sh := range js.shares {
-		if sh.priorStartsKnown {
-			js.missing += sh.missing
+	for _, owned := range js.ownedBlocks {
+		if owned.priorStartsKnown {
+			js.missing += owned.missing
 		}
 	}
 	o.saveOnLeavingMachines(js, now, rq)
@@ -186,8 +186,8 @@
 	}
 }
 
-// saveOnLeavingMachines has tasks save their progress on machines that are being taken away; a gang's tasks
-// must all be told.
+// saveOnLeavingMachines has tasks save their progress on machines that are being taken away; the tasks
+// of a gang must all save.
 func (o *Owner) saveOnLeavingMachines(js *jobState, now time.Time, rq requests) {
 	s := js.job.Spec
 	if !s.Saves() {
--- a/internal/coordination/renting.go
+++ b/internal/coordination/renting.go
@@ -38,7 +38,7 @@
 	input      fleet.Input
 	silent     []string
 	suspect    []string
-	drained    map[string]uint64 // by machine found empty: the sequence number of the drain request in force then
+	drained    map[string]uint64 // by empty machine: the sequence number of the drain request under which it was found empty
 	holder     map[string]string
 	registered map[string]*bookkeeping.Machine
 	seen       map[string]bool
@@ -232,8 +232,8 @@
 	}
 }
 
-// sendDrains tells each holder which of its machines receive no new tasks. Machines that are no longer named
-// become usable again.
+// sendDrains sends each holder the list of its machines that receive no new tasks. Machines that are no longer
+// named become usable again.
 func (l *Leader) sendDrains(state *fleetState, sequence uint64) {
 	byHolder := map[string]*DrainArgs{}
 	for name := range l.holders {
@@ -255,7 +255,7 @@
 }
 
 // returnMachines returns machines to the cloud. Once the cloud has confirmed, the tasks on them have ended;
-// dropping the machines from the registry tells all controllers so.
+// dropping the machines from the registry informs all controllers.
 func (l *Leader) returnMachines(ids []string) {
 	if len(ids) == 0 || !l.session.Valid() {
 		return
@@ -296,7 +296,7 @@
 	}
 }
 
-// reportRefusedKinds tells the owner which kinds of machines the cloud has no capacity for.
+// reportRefusedKinds reports to the owner which kinds of machines the cloud has no capacity for.
 func (l *Leader) reportRefusedKinds(now time.Time) {
 	var refused []fleet.Kind
 	for kind, until := range l.refusedUntil {
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -108,7 +108,7 @@
 	return http.StatusOK, protocol.ReportAnswer{Token: w.unackedAnswerToken, Commands: commands}
 }
 
-// isNewer reports whether a report is newer than all that was heard of its machine: by its session and
+// isNewer reports whether a report is newer than all received from its machine: by its session and
 // ticket, and by the highest token that it shows, which never falls either. If the two disagree the machine
 // restarted and counts from the beginning, either before the report or after it. Without the token, a copy
 // from before a restart, with a later session, would make running tasks count as gone.
@@ -124,7 +124,7 @@
 	now := time.Now()
 	w.highestToken = rep.Token
 	if rep.Token >= w.restartToken {
-		w.restartToken = 0 // it was heard since: a later report with that token is a copy
+		w.restartToken = 0 // the restart is known by now: a later report with that token is a copy
 	}
 	changed := rep.Session > w.session || w.lapsed || w.unresponsive || w.reclaimNotice != (rep.NoticeS != nil)
 	wasVerified := w.verified
@@ -198,12 +198,12 @@
 
 // applyTasks replaces what is known of a machine's tasks by a report; it reports whether that changed
 // anything.
-func (h *Holder) applyTasks(w *worker, rep *protocol.Report) (news bool) {
+func (h *Holder) applyTasks(w *worker, rep *protocol.Report) (changed bool) {
 	if !w.verified {
 		w.verified = true
 		delete(w.slot.awaited, w.id)
 		h.updateCompleteness()
-		news = true
+		changed = true
 	}
 	now := time.Now()
 	listed := make(map[string]bool, len(rep.Tasks))
@@ -211,7 +211,7 @@
 		listed[t.Task] = true
 		e := w.entries[t.Task]
 		if e != nil && e.attempt != t.Attempt {
-			e = nil // the reported attempt counts, not the one believed or wanted
+			e = nil // the reported attempt counts, not the one recorded here
 		}
 		if e == nil {
 			job, index, _ := protocol.SplitTask(t.Task)
@@ -219,7 +219,7 @@
 			w.entries[t.Task] = e
 		}
 		if e.state != t.State {
-			news = true
+			changed = true
 			e.unanswered = false
 			h.noteState(w, e, t)
 		}
@@ -241,13 +241,13 @@
 			// The start may still be in flight (invariant 3).
 		case !w.dropEntry(e, now, !h.isJobOver(e.job)):
 		default:
-			news = true
+			changed = true
 			if e.exited() && e.keepRoom && !h.isJobOver(e.job) && h.startable(w) {
 				w.entries[name] = &entry{task: name, job: e.job, index: e.index, attempt: e.attempt, state: board.TaskReserved, expiresAt: now.Add(reservationLifetime)}
 			}
 		}
 	}
-	return news
+	return changed
 }
 
 const (
@@ -270,7 +270,7 @@
 		e.runningSince = time.Now()
 	}
 	if t.State != protocol.TaskExited || e.state == "" {
-		return // a task first seen after its exit says nothing about the machine
+		return // a task first seen after its exit is no evidence about the machine
 	}
 	switch t.Cause {
 	case protocol.CauseDone:
--- a/internal/coordination/scripts.go
+++ b/internal/coordination/scripts.go
@@ -16,7 +16,7 @@
 	"daledyke/internal/transport"
 )
 
-// Batch scripts with PBS directives, submitted at the front door (docs/design-pbs.md).
+// Batch scripts with PBS directives, submitted by users (docs/design-pbs.md).
 
 var errNoQueues = errors.New("scripts are not taken here: the operators' settings have no (pbs ...)")
 
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -17,11 +17,11 @@
 
 // qsub submits a script as clients do, through any controller that answers.
 func (w *world) qsub(key, options, script string) (protocol.ScriptTaken, error) {
-	var doors []string
+	var addresses []string
 	for _, n := range w.names {
-		doors = append(doors, "front-"+n+":1")
+		addresses = append(addresses, "front-"+n+":1")
 	}
-	return transport.NewUsers(w.net.Dialer("user"), doors).SubmitScript(w.t.Context(), key, options, script)
+	return transport.NewUsers(w.net.Dialer("user"), addresses).SubmitScript(w.t.Context(), key, options, script)
 }
 
 // uploadScript makes the job of a script known to the emulated workers.
--- a/internal/coordination/serve.go
+++ b/internal/coordination/serve.go
@@ -38,10 +38,10 @@
 }
 
 func (h *Holder) drain(a *DrainArgs) {
-	if a.Wish < h.lastDrainWish {
+	if a.Wish < h.lastDrainSequence {
 		return // from a former leader
 	}
-	h.lastDrainWish = a.Wish
+	h.lastDrainSequence = a.Wish
 	wanted, vacate := make(map[string]bool, len(a.Machines)), make(map[string]bool, len(a.Vacate))
 	for _, id := range a.Machines {
 		wanted[id] = true
@@ -57,7 +57,7 @@
 			// It got work that the leader has not seen yet, so it is not idle any more.
 		case wanted[id]:
 			if !draining {
-				w.drainWish = a.Wish
+				w.drainSequence = a.Wish
 			}
 			w.drainUntil = now.Add(drainLifetime)
 			for name, e := range w.entries {
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -12,9 +12,9 @@
 	"daledyke/internal/transport"
 )
 
-// Session keeps a controller's lease in the state service. The controller may act while the lease surely
-// lives: counted on its own monotonic clock from when the last successful renewal was sent, less drift and a
-// margin (invariant 2).
+// Session keeps a controller's lease in the state service. The controller may act while the lease has
+// certainly not expired: counted on its own monotonic clock from when the last successful renewal was sent,
+// less drift and a margin (invariant 2).
 type Session struct {
 	name  string
 	ttl   time.Duration
@@ -62,7 +62,7 @@
 			continue
 		}
 		s.lease.Store(lease)
-		s.workersUnreachable.Store(false) // the new member record does not say so
+		s.workersUnreachable.Store(false) // the new member record does not contain the mark
 		s.term.Store(term)
 		s.extend(sent)
 		slog.Info("session opened", "term", term)
@@ -94,12 +94,12 @@
 	}
 }
 
-// WorkersUnreachable reports whether the other controllers were last to be told that workers can't reach this
-// one.
+// WorkersUnreachable reports whether this controller last set its member record to show that workers can't
+// reach it.
 func (s *Session) WorkersUnreachable() bool { return s.workersUnreachable.Load() }
 
-// SetWorkersUnreachable tells the other controllers whether workers can reach this one. After an error they
-// may or may not have been told, and the caller tries again.
+// SetWorkersUnreachable records, for the other controllers, whether workers can reach this one. After an error
+// the record may or may not have changed, and the caller tries again.
 func (s *Session) SetWorkersUnreachable(ctx context.Context, unreachable bool) error {
 	if !s.Valid() {
 		return errNoSession
@@ -108,5 +108,5 @@
 	return s.store.UpdateMember(ctx, s.name, bookkeeping.Member{Term: s.Term(), WorkersUnreachable: unreachable}, s.Lease())
 }
 
-// errNoSession says that the controller has no session under which it may act.
+// errNoSession means that the controller has no session under which it may act.
 var errNoSession = errors.New("no session")
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -231,7 +231,7 @@
 		if slot < len(h.latestWindow.Assignment) && h.members[h.latestWindow.Assignment[slot]] == nil || rec == nil || rec.Term != s.term {
 			continue
 		}
-		// Stop acting for the slot before its record says so.
+		// Stop acting for the slot before its record shows the release.
 		h.forgetSlot(s)
 		h.releasing[slot] = s
 	}
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -54,11 +54,11 @@
 	return &o.fleetCache
 }
 
-// waitReason tells why no more of a job's tasks run, "" if none is missing, and in how long the next should
+// waitReason returns why no more of a job's tasks run, "" if none is missing, and in how long the next should
 // start, negative if that is not known.
 func (o *Owner) waitReason(js *jobState, now time.Time) (reason string, in time.Duration) {
 	s := js.job.Spec
-	w := placement.JobWait{Final: js.job.Final(), Held: js.job.Held, TimeToBegin: js.job.From().Sub(now), DependenciesPending: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
+	w := placement.JobWait{Final: js.job.Final(), Held: js.job.Held, TimeToBegin: js.job.From().Sub(now), DependenciesPending: js.job.Waits > 0, AtFault: js.verdict == placement.AtFault,
 		Missing: s.Tasks - js.job.DoneCount(), SlotsIncomplete: !o.board.AllComplete(o.slots, 0), StartRequested: len(js.pending) > 0,
 		BindingQuota:   o.limitingAccount(js, now),
 		AtTeamLimit:    func() bool { return js.gainWindow != 0 && !o.teamLimitAllows(js, 1) },
@@ -69,7 +69,7 @@
 	return w.Reason()
 }
 
-// nextBooting tells whether machines that fit a job are booting, and in how long the first should have its
+// nextBooting reports whether machines that fit a job are booting, and in how long the first should have its
 // image, negative if they are late.
 func (o *Owner) nextBooting(s *protocol.JobSpec, now time.Time) (ready time.Duration, booting bool) {
 	ready = -1
@@ -280,13 +280,13 @@
 	}
 }
 
-// noCapacityFor tells whether the cloud refused every kind of machine that the job may use, as far as this
+// noCapacityFor reports whether the cloud refused every kind of machine that the job may use, as far as this
 // controller knows: only the leader learns of refusals.
 func (o *Owner) noCapacityFor(s *protocol.JobSpec) bool {
 	return len(o.refusedKinds) > 0 && !o.obtainable(s, nil)
 }
 
-// obtainable tells whether the cloud may have machines for a job, other than of the excluded types.
+// obtainable reports whether the cloud may have machines for a job, other than of the excluded types.
 func (o *Owner) obtainable(s *protocol.JobSpec, excluded map[string]bool) bool {
 	return fleet.AnyRentable(o.machineTypes, s, func(k fleet.Kind) bool { return !excluded[k.Type] && !slices.Contains(o.refusedKinds, k) })
 }
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -127,7 +127,7 @@
 		peers: map[string]*peerState{"c1": {}, "c2": {}}, unresolved: map[string]*jobState{}, active: map[string]*jobState{}, jobs: map[string]*jobState{}, unmetNeeds: map[needKind]unmetNeed{}}
 	o.session.term.Store(1)
 	js := &jobState{job: pendingJob("wk-1"), pending: map[int]*pendingStart{}, firstSeen: time.Now().Add(-time.Minute)}
-	js.shares = []*ownedBlock{{end: 1, ownership: &ownership{gainWindow: 4, completeSlots: map[int]bool{}}}}
+	js.ownedBlocks = []*ownedBlock{{end: 1, ownership: &ownership{gainWindow: 4, completeSlots: map[int]bool{}}}}
 	o.unresolved["wk-1"], o.active["wk-1"], o.jobs["wk-1"] = js, js, js
 	return o, js
 }
@@ -148,36 +148,36 @@
 // A holder that was stopped, or cut off from the state service, has lost its slot to another and still
 // reports that it knows all of it. A controller that has just become a job's owner must not rely on that:
 // only the slot's newest holder knows what runs there.
-func TestOnlyNewestHolderSettlesSlot(t *testing.T) {
+func TestPriorStartsAreKnownFromNewestHolderOnly(t *testing.T) {
 	o, js := newTestOwner(t)
 	request := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
 	o.applyNews("c2", request, holderNews(9, false), time.Now())
 	o.applyNews("c1", request, holderNews(5, true), time.Now())
-	if js.shares[0].priorStartsKnown {
-		t.Fatal("settled by news of a former holder")
+	if js.ownedBlocks[0].priorStartsKnown {
+		t.Fatal("prior starts count as known by news of a former holder")
 	}
 	o.applyNews("c2", request, holderNews(9, true, runningTask0), time.Now())
-	if !js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
-		t.Errorf("not settled by news of the newest holder, or its task is unknown: %+v", o.board.Tasks)
+	if !js.ownedBlocks[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
+		t.Errorf("prior starts are not known by news of the newest holder, or its task is unknown: %+v", o.board.Tasks)
 	}
 }
 
-// News of a holder that is not entitled to its slots are not believed: it took a machine's lease for lapsed
-// that the slot's next holder, not heard yet, has renewed since.
+// News of a holder that is not entitled to its slots are not applied: the holder may count a machine's lease as
+// lapsed although the slot's next holder, whose feed has not arrived yet, has renewed it.
 func TestNewsOfUnentitledHolderAreIgnored(t *testing.T) {
 	o, js := newTestOwner(t)
 	request := &FeedArgs{Fence: protocol.NewToken(1, 0), Window: 4}
 	if !o.applyNews("c1", request, holderNews(5, false, runningTask0), time.Now()) {
-		t.Fatal("news of an entitled holder are not believed")
+		t.Fatal("news of an entitled holder are not applied")
 	}
 	stale := holderNews(5, true)
 	stale.Valid, stale.Full = false, true
-	if o.applyNews("c1", request, stale, time.Now()) || js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
-		t.Errorf("believed: settled %v, tasks %v", js.shares[0].priorStartsKnown, o.board.Tasks)
+	if o.applyNews("c1", request, stale, time.Now()) || js.ownedBlocks[0].priorStartsKnown || o.board.Tasks["wk-1"][0] == nil {
+		t.Errorf("applied: prior starts known %v, tasks %v", js.ownedBlocks[0].priorStartsKnown, o.board.Tasks)
 	}
 	stale.Entitled = true // all siblings granted it a moratorium
-	if !o.applyNews("c1", request, stale, time.Now()) || !js.shares[0].priorStartsKnown || o.board.Tasks["wk-1"] != nil {
-		t.Errorf("not believed: settled %v, tasks %v", js.shares[0].priorStartsKnown, o.board.Tasks)
+	if !o.applyNews("c1", request, stale, time.Now()) || !js.ownedBlocks[0].priorStartsKnown || o.board.Tasks["wk-1"] != nil {
+		t.Errorf("not applied: prior starts known %v, tasks %v", js.ownedBlocks[0].priorStartsKnown, o.board.Tasks)
 	}
 }
 
@@ -276,8 +276,8 @@
 	}
 }
 
-// A machine that restarted was heard again by its answer to a direct command. A copy of an earlier report
-// shows the token that only this machine was given, but is a copy all the same: what was started since is not
+// A machine that restarted is known again by its answer to a direct command. A copy of an earlier report
+// shows the token that only this machine was given, but is a copy nevertheless: tasks started since are not
 // gone.
 func TestCopyOfFirstReportIsNoRestart(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
@@ -319,8 +319,9 @@
 	}
 }
 
-// A holder that is not entitled to its slots reports nothing of them, and leaves the caller at its version: a
-// caller of a version that believes all news is not misled, and misses none once they are reported again.
+// A holder that is not entitled to its slots reports nothing about them, and leaves the caller at its version: a
+// caller of an older version, which applies all news, is not misled, and misses none once they are reported
+// again.
 func TestUnentitledHolderReportsNoMachines(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, _ *heldSlot) {
 		h.Report(testReport(1, 5, protocol.NewToken(7, 1)))
--- a/internal/coordination/unmet.go
+++ b/internal/coordination/unmet.go
@@ -70,7 +70,7 @@
 	o.unmetNeeds[k] = unmetNeed{js.job.Spec, now.Add(unmetNeedTTL)}
 }
 
-// isKnownUnmet tells whether a moment ago no machine had room for a need of the same kind that was no larger,
+// isKnownUnmet reports whether a moment ago no machine had room for a need of the same kind that was no larger,
 // and no room has come free since.
 func (o *Owner) isKnownUnmet(js *jobState, now time.Time) bool {
 	if len(o.unmetNeeds) == 0 {
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -47,10 +47,10 @@
 	// openStarts are the unanswered direct commands to start, by task, that may still be carried out.
 	openStarts       map[string]openStart
 	commandHasStarts bool // the newest direct command contains starts
-	settled          bool // no command is due until something changes
+	reconciled       bool // no command is due until something changes
 	backoffUntil     time.Time
 	drainUntil       time.Time
-	drainWish        uint64 // the drain request since which it has been kept free without a break
+	drainSequence    uint64 // of the drain request since which it has been kept free without a break
 	vacating         bool   // its tasks are to be moved elsewhere
 	unresponsive     bool
 	reportsLost      bool            // it answers directly, but its reports do not arrive
@@ -119,8 +119,8 @@
 		h.markLapsed(w)
 	}
 	if w.lapsed && !w.verified && w.slot.ready && h.registry[w.id] == nil {
-		// It is not registered and has shown no token of this holder: mostly an old report of a machine that
-		// was returned. If it were kept, it would be shown as silent for ever.
+		// The machine is not registered and has shown no token of this holder. Mostly its report is an old one, of
+		// a machine that was returned. If the worker were kept, it would be shown as silent for ever.
 		h.dropWorker(w.id)
 		return
 	}
@@ -129,11 +129,11 @@
 		h.judgeMachine(w)
 	}
 	h.noteResponsiveness(w, now)
-	if w.settled && len(h.changedJobs) == 0 {
+	if w.reconciled && len(h.changedJobs) == 0 {
 		return
 	}
 	h.reconcileEntries(w, now)
-	if !w.settled {
+	if !w.reconciled {
 		h.sendCommands(w)
 	}
 }
@@ -174,7 +174,7 @@
 }
 
 // expireOpenStarts forgets direct commands to start that are no longer in flight. If the lease has lapsed,
-// their tasks were kept only because of them and are dropped; otherwise the next report tells.
+// their tasks were kept only because of them and are dropped; otherwise the next report shows whether they run.
 func (h *Holder) expireOpenStarts(w *worker, now time.Time) {
 	for task, open := range w.openStarts {
 		if now.Before(open.expiresAt) {
@@ -210,7 +210,7 @@
 func (h *Holder) reconcileEntries(w *worker, now time.Time) {
 	for name, e := range w.entries {
 		if h.changedJobs[e.job] {
-			e.lastSentAt, w.settled = time.Time{}, false // the command sent may no longer be the desired one
+			e.lastSentAt, w.reconciled = time.Time{}, false // the command sent may no longer be the desired one
 		}
 		if (e.state == board.TaskReserved || e.state == board.TaskQueued) && now.After(e.expiresAt) {
 			delete(w.entries, name)
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -183,11 +183,11 @@
 // start starts controllers as main does.
 func (w *world) start(names ...string) {
 	for _, name := range names {
-		w.startOne(name)
+		w.startController(name)
 	}
 }
 
-func (w *world) startOne(name string) {
+func (w *world) startController(name string) {
 	c := w.loadSettings(name)
 	kill, err := w.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
 		NewController(ctx, c, w.net.Dialer(name)).Serve(ctx, front, inner, 100)
