--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -27,7 +27,7 @@
 		awaited: map[string]bool{machine: true}}
 	h.slots[s.slot] = s
 	h.synced(time.Now())
-	h.registry[machine] = &bookkeeping.Machine{ID: machine}
+	h.registeredMachines[machine] = &bookkeeping.Machine{ID: machine}
 	return h, s
 }
 
@@ -309,10 +309,10 @@
 		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
 		time.Sleep(5 * time.Second)
 		for _, c := range []struct {
-			name        string
-			stray       board.Stray
-			tellsStrays bool
-			counts      bool
+			name     string
+			stray    board.Stray
+			detailed bool
+			counts   bool
 		}{
 			{"nothing", board.Stray{}, true, false},
 			{"a copy", board.Stray{Machine: "host-000004", Session: 2, Ticket: 5}, true, false},
@@ -322,7 +322,7 @@
 			{"an older version", board.Stray{}, false, true},
 		} {
 			h.reportedElsewhereAt = time.Time{}
-			if h.noteMisrouted(c.stray, c.tellsStrays, time.Now()); !h.reportedElsewhereAt.IsZero() != c.counts {
+			if h.noteMisrouted(c.stray, c.detailed, time.Now()); !h.reportedElsewhereAt.IsZero() != c.counts {
 				t.Errorf("%s: %v", c.name, h.reportedElsewhereAt)
 			}
 		}
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -16,7 +16,7 @@
 
 // usable reports whether tasks may be started on a machine, provided that it receives answers.
 func (h *Holder) usable(w *worker) bool {
-	return w.verified && w.slot.ready && !w.lapsed && !w.unresponsive && !w.reportsLost && !w.reclaimNotice && w.quarantinedSince.IsZero() && !w.suspect && h.registry[w.id] != nil &&
+	return w.verified && w.slot.ready && !w.lapsed && !w.unresponsive && !w.reportsLost && !w.reclaimNotice && w.quarantinedSince.IsZero() && !w.suspect && h.registeredMachines[w.id] != nil &&
 		w.slot.roster[protocol.MachineNumber(w.id)] && time.Now().After(w.drainUntil)
 }
 
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -86,7 +86,9 @@
 		k.holder.announcers = append(k.holder.announcers, peer)
 	}
 	k.owner = NewOwner(ctx, c, k.session, k.store, holders, k.addFinalJob,
-		func(job string, op placement.Verdict) { k.holder.tell(func() { k.holder.setVerdict(job, op) }) }, lenders)
+		func(job string, verdict placement.Verdict) {
+			k.holder.tell(func() { k.holder.setVerdict(job, verdict) })
+		}, lenders)
 	k.owner.handleMisrouted = func(s board.Stray, detailed bool, receivedAt time.Time) {
 		k.holder.tell(func() { k.holder.noteMisrouted(s, detailed, receivedAt) })
 	}
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -23,19 +23,19 @@
 	store   *bookkeeping.Store
 	workers *transport.Workers
 
-	machineTypes   map[string]protocol.MachineType
-	jobs           map[string]*bookkeeping.Job
-	members        map[string]*bookkeeping.Member
-	slotRecords    map[int]*bookkeeping.Slot
-	registry       map[string]*bookkeeping.Machine
-	slots          map[int]*heldSlot
-	workersByID    map[string]*worker
-	changedJobs    map[string]bool  // looked at in the next tick
-	finalJobs      []string         // jobs in a final state, oldest first
-	removed        []removedMachine // newest last; bounded
-	retired        recentNames      // machines that were returned
-	version        uint64
-	versionChanged chan struct{} // closed and replaced when version rises
+	machineTypes       map[string]protocol.MachineType
+	jobs               map[string]*bookkeeping.Job
+	members            map[string]*bookkeeping.Member
+	slotRecords        map[int]*bookkeeping.Slot
+	registeredMachines map[string]*bookkeeping.Machine
+	slots              map[int]*heldSlot
+	workersByID        map[string]*worker
+	changedJobs        map[string]bool  // looked at in the next tick
+	finalJobs          []string         // jobs in a final state, oldest first
+	removed            []removedMachine // newest last; bounded
+	returnedMachines   recentNames      // machines that were returned
+	version            uint64
+	versionChanged     chan struct{} // closed and replaced when version rises
 
 	window       *bookkeeping.Window // adopted: only its owners' requests are accepted
 	latestWindow *bookkeeping.Window // newest known; may start later
@@ -123,31 +123,31 @@
 	}
 	now := time.Now()
 	return &Holder{
-		actor:            newActor(ctx),
-		cfg:              c,
-		quotas:           c.Quotas,
-		session:          session,
-		store:            store,
-		workers:          workers,
-		started:          now,
-		boundUntil:       now.Add(membership.RecoveryPeriod),
-		grantedMoratoria: map[string]membership.Grant{},
-		watermark:        membership.NewWatermark(siblings),
-		announcing:       map[string]announcementState{},
-		acknowledged:     make(chan struct{}),
-		misrouted:        map[string]misroutedReport{},
-		machineTypes:     map[string]protocol.MachineType{},
-		jobs:             map[string]*bookkeeping.Job{},
-		members:          map[string]*bookkeeping.Member{},
-		slotRecords:      map[int]*bookkeeping.Slot{},
-		registry:         map[string]*bookkeeping.Machine{},
-		slots:            map[int]*heldSlot{},
-		workersByID:      map[string]*worker{},
-		changedJobs:      map[string]bool{},
-		verdicts:         map[string]placement.Verdict{},
-		releasing:        map[int]*heldSlot{},
-		versionChanged:   make(chan struct{}),
-		fences:           map[string]protocol.Token{},
+		actor:              newActor(ctx),
+		cfg:                c,
+		quotas:             c.Quotas,
+		session:            session,
+		store:              store,
+		workers:            workers,
+		started:            now,
+		boundUntil:         now.Add(membership.RecoveryPeriod),
+		grantedMoratoria:   map[string]membership.Grant{},
+		watermark:          membership.NewWatermark(siblings),
+		announcing:         map[string]announcementState{},
+		acknowledged:       make(chan struct{}),
+		misrouted:          map[string]misroutedReport{},
+		machineTypes:       map[string]protocol.MachineType{},
+		jobs:               map[string]*bookkeeping.Job{},
+		members:            map[string]*bookkeeping.Member{},
+		slotRecords:        map[int]*bookkeeping.Slot{},
+		registeredMachines: map[string]*bookkeeping.Machine{},
+		slots:              map[int]*heldSlot{},
+		workersByID:        map[string]*worker{},
+		changedJobs:        map[string]bool{},
+		verdicts:           map[string]placement.Verdict{},
+		releasing:          map[int]*heldSlot{},
+		versionChanged:     make(chan struct{}),
+		fences:             map[string]protocol.Token{},
 	}
 }
 
@@ -226,8 +226,8 @@
 
 // removeMachine removes a machine that was returned, with all its tasks.
 func (h *Holder) removeMachine(id string) {
-	delete(h.registry, id)
-	h.retired.add(id)
+	delete(h.registeredMachines, id)
+	h.returnedMachines.add(id)
 	if s := h.slots[h.slotOf(id)]; s != nil {
 		delete(s.awaited, id)
 		h.updateCompleteness()
@@ -277,10 +277,10 @@
 		h.removeMachine(id)
 		return
 	}
-	if h.retired.has(id) {
+	if h.returnedMachines.has(id) {
 		return
 	}
-	h.registry[id] = m
+	h.registeredMachines[id] = m
 	if w := h.workersByID[id]; w != nil {
 		h.markChanged(w)
 	}
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -123,7 +123,7 @@
 // machine, delayed commands and changes of holder, no holder drops a task that runs, or that a delayed
 // command of its own may still start; and once all faults are over the holder knows again what is there.
 // (Owners' boards keep track of what a former holder sent.) The test finds these faults when they are put in:
-// numbers that are not compared, a newest answer that is not counted, reports that are believed under an
+// numbers that are not compared, a newest answer that is not counted, reports that are applied under an
 // older term, a start that may still arrive but counts as void.
 func TestRunningTaskIsNeverDropped(t *testing.T) {
 	c, err := config.Load(settingsWith(t, "", ""), "")
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -61,7 +61,7 @@
 	// failingJobs are active jobs with failed tasks. publishVerdict passes on the verdict on a job.
 	failingJobs    map[string]*jobState
 	judgedAt       time.Time
-	publishVerdict func(job string, o placement.Verdict)
+	publishVerdict func(job string, verdict placement.Verdict)
 
 	// writingFinal and writingPartial: a write of results that end jobs, or of other results, is in progress.
 	writingFinal, writingPartial bool
@@ -352,7 +352,7 @@
 	}
 	if o.quotas.tree != nil {
 		o.stopYielding(now, rq)
-		o.borrow(now)
+		o.requestPermits(now)
 	}
 	for name, a := range rq {
 		o.sendRequest(name, a)
--- a/internal/coordination/production_test.go
+++ b/internal/coordination/production_test.go
@@ -12,7 +12,7 @@
 )
 
 // The messages that siblings of the production version send and understand. The types below are those of that
-// version; testdata/production-rpc.txt tells where the bytes are from.
+// version; testdata/production-rpc.txt states where the bytes are from.
 
 type (
 	productionTask struct {
@@ -124,7 +124,7 @@
 	if s := ask.Starts[0]; s.Task != "wk-1/1" || s.Attempt != 9 || !s.Reserve || s.Evict[0] != "wk-8/0" || !ask.Stops[0].Forget || ask.ID != 12884901894 {
 		t.Errorf("the production version reads the request as %+v", ask)
 	}
-	// The older version decides by these words; no new word may be added to them.
+	// The older version decides by these states; no new state may be added to them.
 	if words := []string{board.TaskReserved, board.TaskQueued, board.TaskStarting}; !reflect.DeepEqual(words, []string{"reserved", "queued", "starting"}) {
 		t.Errorf("%v", words)
 	}
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-// borrow drops permits that are no longer usable and sends this round's wants to the authorities.
-func (o *Owner) borrow(now time.Time) {
+// requestPermits drops permits that are no longer usable and sends this round's wants to the authorities.
+func (o *Owner) requestPermits(now time.Time) {
 	for id, js := range o.quotas.withPermits {
 		for index, p := range js.permits {
 			if !js.owns(index) || p.term != o.session.Term() || now.After(p.expires) {
@@ -101,7 +101,7 @@
 	}
 	for _, team := range o.quotas.tree.Teams() {
 		pending := o.teamRequest(team)
-		if pending.inFlight || len(pending.wants) == 0 && now.Sub(pending.sentAt) < borrowInterval || !o.allHoldersAnswered() {
+		if pending.inFlight || len(pending.wants) == 0 && now.Sub(pending.sentAt) < permitRequestInterval || !o.allHoldersAnswered() {
 			if !pending.inFlight {
 				pending.wants = nil // the next round makes the wants again
 			}
@@ -130,7 +130,7 @@
 		o.quotas.requestCount++
 		if name == o.cfg.Name {
 			if reply, ok := o.lend(&request, now); ok {
-				o.applyReply(&request, &reply, now)
+				o.applyLendReply(&request, &reply, now)
 			}
 			continue
 		}
@@ -147,15 +147,15 @@
 				if err != nil {
 					slog.Debug("quota request failed", "authority", name, "team", team, "err", err)
 				} else {
-					o.applyReply(&request, &reply, time.Now())
+					o.applyLendReply(&request, &reply, time.Now())
 				}
 			})
 		}()
 	}
 }
 
-// applyReply applies an authority's reply: permits, limiting accounts and tasks that have to stop.
-func (o *Owner) applyReply(r *quota.Request, reply *quota.Reply, now time.Time) {
+// applyLendReply applies an authority's reply: permits, limiting accounts and tasks that have to stop.
+func (o *Owner) applyLendReply(r *quota.Request, reply *quota.Reply, now time.Time) {
 	if r.Term != o.session.Term() {
 		return // the next request does not list these permits as held, which returns them
 	}
--- a/internal/coordination/quotas.go
+++ b/internal/coordination/quotas.go
@@ -50,9 +50,9 @@
 	permitBackoff = 2 * time.Second
 	// deniedBackoff is the pause before a job whose permits were denied asks for them again.
 	deniedBackoff = 500 * time.Millisecond
-	// borrowInterval is the time between requests to an authority when nothing is wanted. Such a request
+	// permitRequestInterval is the time between requests to an authority when nothing is wanted. Such a request
 	// returns permits that are no longer held, and its reply names tasks that have to stop.
-	borrowInterval = time.Second
+	permitRequestInterval = time.Second
 	// lendTimeout bounds a request to an authority.
 	lendTimeout = 2 * time.Second
 	// maxWantedPermits bounds the permits that one job asks for at a time.
@@ -77,7 +77,7 @@
 // QuotaRPC serves the authority to sibling controllers, and the accounts to operators.
 type QuotaRPC struct{ controller *Controller }
 
-// Lend answers an owner's request, or returns errNotNow if this controller is not the team's authority now.
+// Lend answers an owner's request, or returns errRequestVoid if this controller is not the team's authority now.
 func (q QuotaRPC) Lend(r quota.Request, reply *quota.Reply) error {
 	o := q.controller.owner
 	ctx, cancel := context.WithTimeout(o.ctx, lendTimeout)
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -31,7 +31,7 @@
 	if rep.Token.Term() > s.term {
 		return http.StatusMisdirectedRequest, protocol.Redirect{}
 	}
-	if h.retired.has(rep.Machine) {
+	if h.returnedMachines.has(rep.Machine) {
 		return http.StatusServiceUnavailable, nil
 	}
 	w := h.workerOf(rep.Machine, s)
@@ -51,7 +51,7 @@
 	if !h.applyReport(w, rep) {
 		return http.StatusServiceUnavailable, nil
 	}
-	w.reported = w.lastHeard
+	w.lastReported = w.lastHeard
 	if late && previousSession != 0 {
 		w.tokenSeq++ // its next report shows whether it receives answers
 		w.ack.requireAck(protocol.NewToken(s.term, w.tokenSeq), time.Now())
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -166,8 +166,8 @@
 					if s == nil || s.term != term {
 						continue
 					}
-					if h.registry[m.ID] == nil && !h.retired.has(m.ID) {
-						h.registry[m.ID] = m
+					if h.registeredMachines[m.ID] == nil && !h.returnedMachines.has(m.ID) {
+						h.registeredMachines[m.ID] = m
 					}
 					if w := h.workersByID[m.ID]; s.roster[m.Number()] && !(w != nil && w.verified) {
 						s.awaited[m.ID] = true
@@ -306,7 +306,7 @@
 		return rosters[s]
 	}
 	for _, w := range h.workersByID {
-		if n := protocol.MachineNumber(w.id); w.verified && w.slot.ready && h.registry[w.id] != nil && !w.slot.roster[n] {
+		if n := protocol.MachineNumber(w.id); w.verified && w.slot.ready && h.registeredMachines[w.id] != nil && !w.slot.roster[n] {
 			if r := roster(w.slot); r != nil {
 				r[n] = true
 			}
@@ -314,7 +314,7 @@
 	}
 	registered := map[uint64]bool{}
 	if len(rosters) > 0 {
-		for id := range h.registry {
+		for id := range h.registeredMachines {
 			registered[protocol.MachineNumber(id)] = true
 		}
 	}
@@ -356,7 +356,7 @@
 	var unregistered []bookkeeping.Machine
 	now := time.Now()
 	for _, w := range h.workersByID {
-		if w.verified && h.registry[w.id] == nil && now.Sub(w.firstHeard) > registerFoundAfter {
+		if w.verified && h.registeredMachines[w.id] == nil && now.Sub(w.firstHeard) > registerFoundAfter {
 			unregistered = append(unregistered, bookkeeping.Machine{ID: w.id, Type: w.machineType, Zone: w.zone, Spot: w.spot, RentedMs: now.UnixMilli()})
 		}
 	}
--- a/internal/coordination/trace_jobs_test.go
+++ b/internal/coordination/trace_jobs_test.go
@@ -125,7 +125,7 @@
 		if what[0] == "unknown" && status == 404 || err == nil && strings.Contains(got, `"status":"`+what[0]+`"`) {
 			continue
 		}
-		return fmt.Errorf("%s says %d %s %v", n, status, got, err)
+		return fmt.Errorf("%s answers %d %s %v", n, status, got, err)
 	}
 	return nil
 }
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/trace_test.go
@@ -287,7 +287,7 @@
 		}
 	case "asks": // asks CONTROLLER PATH: sends a request and ignores the answer
 		w.call("user", http.MethodGet, "front-"+args[0]+args[1], nil, 2*time.Second)
-	case "unhealthy": // unhealthy CONTROLLER: it tells the load balancer to send no requests
+	case "unhealthy": // unhealthy CONTROLLER: its health check fails, so that the load balancer sends it no requests
 		status, _, err := w.call("user", http.MethodGet, "front-"+args[0]+"/healthz", nil, 2*time.Second)
 		if err == nil && status == 200 {
 			err = errors.New("the controller reports itself healthy")
--- a/internal/coordination/two_places_test.go
+++ b/internal/coordination/two_places_test.go
@@ -110,8 +110,8 @@
 			t.Errorf("a possible copy makes the machine unusable, or does not count as a renewal: %+v", w)
 		}
 		// If it shows the token, it did restart, and its former tasks are gone.
-		heard := testReport(1, 2, answer.Token)
-		if status, _ := h.Report(heard); status != http.StatusOK || w.ticket != 2 || w.entries["wk-1/0"] != nil {
+		acknowledging := testReport(1, 2, answer.Token)
+		if status, _ := h.Report(acknowledging); status != http.StatusOK || w.ticket != 2 || w.entries["wk-1/0"] != nil {
 			t.Errorf("answered %d, %+v", status, w)
 		}
 		if w.tokenSeq <= uint64(answer.Token)&(1<<32-1) {
--- a/internal/coordination/worker.go
+++ b/internal/coordination/worker.go
@@ -23,10 +23,10 @@
 	// restartToken was given only to this worker, which may have restarted; 0: none was.
 	restartToken protocol.Token
 	// verified: a report under this slot's term has arrived (invariant 3).
-	verified   bool
-	firstHeard time.Time
-	lastHeard  time.Time
-	reported   time.Time // arrival of its last report; lastHeard counts direct answers, too
+	verified     bool
+	firstHeard   time.Time
+	lastHeard    time.Time
+	lastReported time.Time // arrival of its last report; lastHeard counts direct answers, too
 	// lastAnswer is when the newest answer with status 200 that the worker may have received was given: the
 	// later ones are known to be lost. unackedAnswer and unackedAnswerToken are time and token of the newest
 	// answer, while it is unknown whether it arrived; see noteAck.
@@ -118,7 +118,7 @@
 	if !w.lapsed && now.Sub(w.lastPossibleRenewal()) > lease {
 		h.markLapsed(w)
 	}
-	if w.lapsed && !w.verified && w.slot.ready && h.registry[w.id] == nil {
+	if w.lapsed && !w.verified && w.slot.ready && h.registeredMachines[w.id] == nil {
 		// The machine is not registered and has shown no token of this holder. Mostly its report is an old one, of
 		// a machine that was returned. If the worker were kept, it would be shown as silent for ever.
 		h.dropWorker(w.id)
@@ -152,7 +152,7 @@
 
 // dropEntry drops a task that is no longer on its machine, unless a direct command to start it may still
 // arrive: a higher token and a later session fence such a command only until the machine restarts and forgets
-// both. wanted tells whether the task is still to run. dropEntry reports whether the entry was dropped or
+// both. wanted is set if the task is still to run. dropEntry reports whether the entry was dropped or
 // changed.
 //
 // If a delayed start counted as void once its machine had shown a higher token, the task could be started
@@ -196,7 +196,7 @@
 	answeringFor := min(now.Sub(w.slot.adopted), now.Sub(h.lastNotAnswering))
 	sinceHeard := min(now.Sub(w.lastHeard), answeringFor)
 	unresponsive := sinceHeard > h.unresponsiveAfter() || w.ack.isOverdue(now, h.unresponsiveAfter())
-	reportsLost := !unresponsive && min(now.Sub(w.reported), answeringFor) > h.unresponsiveAfter()
+	reportsLost := !unresponsive && min(now.Sub(w.lastReported), answeringFor) > h.unresponsiveAfter()
 	if unresponsive != w.unresponsive || reportsLost != w.reportsLost {
 		w.unresponsive, w.reportsLost = unresponsive, reportsLost
 		h.markChanged(w)
