--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -301,10 +301,10 @@
 	})
 }
 
-// Only reports that a holder has not heard, made since it took the slot, show that its machines report
-// elsewhere; copies of old reports do not. A sibling whose version sends no such notices is assumed to have
-// received such reports.
-func TestCopiedReportsAreNotStrays(t *testing.T) {
+// A sibling's notice of a report counts as evidence that machines report elsewhere only if the report is newer
+// than those the holder received and was made since it took the slot; copies of old reports do not count. A
+// sibling whose version sends no such notices is assumed to have received such a report.
+func TestCopiedReportsDoNotCountAsMisrouted(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
 		time.Sleep(5 * time.Second)
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -31,8 +31,8 @@
 		return r, false
 	}
 	if a.Window < h.ownersSince {
-		// A caller that was cut off may still use a window from before it lost its range, and may have got
-		// the range back since: it does not know what others started in between.
+		// A caller that was cut off may still use a window from before it lost its range, even if it owns the
+		// range again by now: it does not know what others started in between.
 		return r, false
 	}
 	for _, st := range a.Stops {
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -56,7 +56,7 @@
 		a.w.t.Errorf("%s %s at %s: %s after it had been %s", method, path, node, st.Status, final)
 	}
 	a.w.em.Rules(func(r *history.Checker) {
-		if a.finalStatus == final || st.Status == a.finalStatus { // the rules allow for one request at a time
+		if a.finalStatus == final || st.Status == a.finalStatus { // the checker expects one request at a time
 			r.Note(history.Event{At: a.w.em.Since(), Kind: kind, Job: a.job.ID, Code: status, Status: st.Status})
 		}
 		a.accepted = a.accepted || known
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -104,11 +104,11 @@
 	return true
 }
 
-// cancellationStops returns the stops that the answer to a report contains, so that the answer renews nothing
-// that is known to be cancelled (invariant 9): a worker that receives the answer carries them out with it,
-// and one that does not gets no renewal. known is false if a task runs there of which it is unknown whether
-// it is cancelled. The commands may be repeated and arrive late, as all stops may; starts of such tasks that
-// are in flight are fenced by a higher token.
+// cancellationStops returns the stops of cancelled tasks that the answer to a report contains. With them the
+// answer renews nothing that is known to be cancelled (invariant 9): a worker that receives the answer carries
+// out the stops, and one that does not gets no renewal. known is false if the report lists a running task of an
+// unknown job, which may be cancelled. Like all stops, these may be repeated and may arrive late. Starts of
+// cancelled tasks that are in flight are fenced by a higher token.
 func (h *Holder) cancellationStops(w *worker, rep *protocol.Report) (stops []protocol.Command, known bool) {
 	stops = []protocol.Command{}
 	stop := func(task string, attempt uint64) {
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// Admission goes by blocks: the owner of a job may not start tasks in blocks that others own. A window that
+// Admission is checked by block: the owner of a job may not start tasks in blocks that others own. A window that
 // starts to divide jobs makes earlier requests void, though the ranges of the ring stay the same.
 func TestAdmissionChecksTheOwnerOfTheBlock(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// feedBatchDelay is how long a feed reply waits for further changes, for each controller that gets them.
+// feedBatchDelay, times the number of controllers, is how long a feed reply waits for further changes.
 const feedBatchDelay = 40 * time.Millisecond
 
 // newsSince is the reply to a feed request as things stand.
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -19,7 +19,7 @@
 //	a reservation only                                start the replica there
 //
 // A reservation expires after some seconds; a replica stopped by then is placed like any other missing task. A
-// move writes no records: a job's record holds what it wants, and only the machines hold where it runs.
+// move writes no records: a job's record contains what is to run, and only the machines show where it runs.
 
 // moveReplica takes the next step for a service's replicas that have to move, one at a time.
 func (o *Owner) moveReplica(js *jobState, now time.Time, rq requests) {
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -304,7 +304,7 @@
 // free by itself.
 const recentPlacementHalfLife = 15 * time.Second
 
-// plan computes the difference between what the jobs want and what exists, and requests it from the holders.
+// plan compares the tasks that should run with those that do, and requests the difference from the holders.
 func (o *Owner) plan(now time.Time) {
 	if !o.session.Valid() || o.window() == nil {
 		return
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -41,7 +41,7 @@
 	return o.newAttempt()
 }
 
-// wantPermits adds a want for permits for tasks of a job to the next request. If attempt is 0, each task gets
+// wantPermits adds permits for tasks of a job to the wants of the next request. If attempt is 0, each task gets
 // an attempt number of its own; otherwise all share it. together asks for all of them or none.
 func (o *Owner) wantPermits(js *jobState, indexes []int, attempt uint64, together bool, now time.Time) {
 	if len(indexes) == 0 || now.Before(js.nextPermitRequest) {
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -225,8 +225,9 @@
 		}
 		if t.Cause == protocol.CauseIncomplete && e.state != "" && !e.exited() {
 			// Its owner decides whether its room is kept. If others got the room at once, the task would
-			// start elsewhere and fetch its image there, and the rest of the gang would wait in vain in turn.
-			e.expiresAt = now.Add(incompletePlaceLifetime)
+			// start elsewhere and fetch its image there, and the other tasks of the gang would exit meanwhile
+			// for the same reason.
+			e.expiresAt = now.Add(incompleteRoomLifetime)
 		}
 		e.state, e.cause, e.saved, e.startToken = t.State, t.Cause, t.Saved, 0
 		if e.state == protocol.TaskRunning && !e.proven && !e.runningSince.IsZero() && time.Since(e.runningSince) >= placement.ProvenAfter {
@@ -251,10 +252,10 @@
 }
 
 const (
-	// incompletePlaceLifetime is how long the room of a task that waited for its gang in vain is kept until
-	// its owner asks for it. reservationLifetime is how long a reservation lasts.
-	incompletePlaceLifetime = 3 * time.Second
-	reservationLifetime     = 6 * time.Second
+	// incompleteRoomLifetime is how long the room of a task that exited because its gang did not assemble is
+	// kept for a decision of its owner. reservationLifetime is how long a reservation lasts.
+	incompleteRoomLifetime = 3 * time.Second
+	reservationLifetime    = 6 * time.Second
 )
 
 // noteState learns from a task's new state which images the machine has and whether tasks fail there.
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -13,8 +13,8 @@
 )
 
 // Session keeps a controller's lease in the state service. The controller may act while the lease has
-// certainly not expired: counted on its own monotonic clock from when the last successful renewal was sent,
-// less drift and a margin (invariant 2).
+// certainly not expired. The lease counts from when the last successful renewal was sent, by the controller's
+// monotonic clock, less drift and a margin (invariant 2).
 type Session struct {
 	name  string
 	ttl   time.Duration
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -105,8 +105,8 @@
 	return claims
 }
 
-// claimFor returns the claim that takes a slot, if nobody can be acting for it. Another process may be acting
-// for it as long as its session lives, which its member record shows.
+// claimFor returns the claim that takes a slot; may is false while another process may be acting for the slot.
+// The former holder may do so until its session ends, which its member record shows.
 func (h *Holder) claimFor(slot int, incarnation uint64) (c bookkeeping.Claim, may bool) {
 	c = bookkeeping.Claim{Slot: slot, Seen: h.slotRecords[slot]}
 	if c.Seen == nil || c.Seen.Holder == "" {
