--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// WorkersUnreachable reports whether this controller last set its member record to show that workers can't
-// reach it.
+// WorkersUnreachable reports whether the newest write of the member record, which may have failed, shows that
+// workers can't reach this controller.
 func (s *Session) WorkersUnreachable() bool { return s.workersUnreachable.Load() }
 
 // SetWorkersUnreachable records, for the other controllers, whether workers can reach this one. After an error
