--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -27,7 +27,7 @@
 		awaited: map[string]bool{machine: true}}
 	h.slots[s.slot] = s
 	h.synced(time.Now())
-	h.registry[machine] = &bookkeeping.Machine{ID: machine}
+	h.registeredMachines[machine] = &bookkeeping.Machine{ID: machine}
 	return h, s
 }
 
@@ -168,7 +168,7 @@
 	})
 }
 
-// A command that was never sent, for want of a connection, says nothing of its machine: the tasks to be
+// A command that was never sent, for want of a connection, is no evidence about its machine: the tasks to be
 // started wait on, and no acknowledgement is required. (Otherwise, when many silent machines hold all
 // connections, healthy machines count as receiving nothing.)
 func TestUnsentCommandRequiresNoAck(t *testing.T) {
@@ -301,17 +301,18 @@
 	})
 }
 
-// Only reports that a holder has not heard, made since it took the slot, show that its machines report
-// elsewhere; copies of old reports do not. A version that tells of no strays is assumed to have seen some.
-func TestCopiedReportsAreNotStrays(t *testing.T) {
+// A sibling's notice of a report counts as evidence that machines report elsewhere only if the report is newer
+// than those the holder received and was made since it took the slot; copies of old reports do not count. A
+// sibling whose version sends no such notices is assumed to have received such a report.
+func TestCopiedReportsDoNotCountAsMisrouted(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
 		time.Sleep(5 * time.Second)
 		for _, c := range []struct {
-			name        string
-			stray       board.Stray
-			tellsStrays bool
-			counts      bool
+			name     string
+			stray    board.Stray
+			detailed bool
+			counts   bool
 		}{
 			{"nothing", board.Stray{}, true, false},
 			{"a copy", board.Stray{Machine: "host-000004", Session: 2, Ticket: 5}, true, false},
@@ -321,7 +322,7 @@
 			{"an older version", board.Stray{}, false, true},
 		} {
 			h.reportedElsewhereAt = time.Time{}
-			if h.noteMisrouted(c.stray, c.tellsStrays, time.Now()); !h.reportedElsewhereAt.IsZero() != c.counts {
+			if h.noteMisrouted(c.stray, c.detailed, time.Now()); !h.reportedElsewhereAt.IsZero() != c.counts {
 				t.Errorf("%s: %v", c.name, h.reportedElsewhereAt)
 			}
 		}
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -16,7 +16,7 @@
 
 // usable reports whether tasks may be started on a machine, provided that it receives answers.
 func (h *Holder) usable(w *worker) bool {
-	return w.verified && w.slot.ready && !w.lapsed && !w.unresponsive && !w.reportsLost && !w.reclaimNotice && w.quarantinedSince.IsZero() && !w.suspect && h.registry[w.id] != nil &&
+	return w.verified && w.slot.ready && !w.lapsed && !w.unresponsive && !w.reportsLost && !w.reclaimNotice && w.quarantinedSince.IsZero() && !w.suspect && h.registeredMachines[w.id] != nil &&
 		w.slot.roster[protocol.MachineNumber(w.id)] && time.Now().After(w.drainUntil)
 }
 
@@ -31,8 +31,8 @@
 		return r, false
 	}
 	if a.Window < h.ownersSince {
-		// A caller that was cut off may still use a window from before it lost its range, and may have got
-		// the range back since: it does not know what others started in between.
+		// A caller that was cut off may still use a window from before it lost its range, even if it owns the
+		// range again by now: it does not know what others started in between.
 		return r, false
 	}
 	for _, st := range a.Stops {
@@ -83,7 +83,7 @@
 		return "no permit"
 	}
 	delete(w.entries, st.Task)
-	// A reservation has its room already, though tasks that were told to make way may still use it.
+	// The room of a reservation is already set aside, although evicted tasks may still occupy it.
 	if ahead := st.Reserve && st.Ahead; ahead && w.hasReservedAhead(st.Task) {
 		return "kept for another"
 	} else if reserved == nil && !ahead && !h.roomAfterEvictions(w, st).Fits(j.Spec.Need()) {
--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -56,7 +56,7 @@
 		a.w.t.Errorf("%s %s at %s: %s after it had been %s", method, path, node, st.Status, final)
 	}
 	a.w.em.Rules(func(r *history.Checker) {
-		if a.finalStatus == final || st.Status == a.finalStatus { // the rules allow for one request at a time
+		if a.finalStatus == final || st.Status == a.finalStatus { // the checker expects one request at a time
 			r.Note(history.Event{At: a.w.em.Since(), Kind: kind, Job: a.job.ID, Code: status, Status: st.Status})
 		}
 		a.accepted = a.accepted || known
@@ -136,12 +136,12 @@
 
 // Users query all controllers at once, repeat their submissions and cancel, right after a job was accepted
 // and when its last task ends. No later answer may know less than an earlier one, in a calm deployment as
-// well as where answers are lost, news are delayed, the state service is slow or refuses a controller, and
+// well as where answers are lost, records arrive late, the state service is slow or refuses a controller, and
 // controllers crash.
 func TestAnswersNeverContradictEarlierOnes(t *testing.T) {
 	for name, faults := range map[string]func(w *world, step func(string, ...string)){
 		"calm":               func(*world, func(string, ...string)) {},
-		"delayed news":       func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
+		"late records":       func(_ *world, step func(string, ...string)) { step("lags", "c1", "2s"); step("lags", "c2", "700ms") },
 		"lost state answers": func(_ *world, step func(string, ...string)) { step("state-unheard", "0.4") },
 		"late state answers": func(_ *world, step func(string, ...string)) {
 			for range 5 {
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -14,8 +14,8 @@
 	"daledyke/internal/transport"
 )
 
-// Holder is the only controller that speaks for the machines of the slots it holds: it receives their
-// reports, sends them commands and tells other controllers what is on them.
+// Holder is the only controller that manages the machines of the slots it holds: it receives their reports,
+// sends them commands and reports to other controllers what is on them.
 type Holder struct {
 	actor
 	cfg     *config.Config
@@ -23,19 +23,19 @@
 	store   *bookkeeping.Store
 	workers *transport.Workers
 
-	machineTypes   map[string]protocol.MachineType
-	jobs           map[string]*bookkeeping.Job
-	members        map[string]*bookkeeping.Member
-	slotRecords    map[int]*bookkeeping.Slot
-	registry       map[string]*bookkeeping.Machine
-	slots          map[int]*heldSlot
-	workersByID    map[string]*worker
-	changedJobs    map[string]bool  // looked at in the next tick
-	finalJobs      []string         // jobs in a final state, oldest first
-	removed        []removedMachine // newest last; bounded
-	retired        recentNames      // machines that were returned
-	version        uint64
-	versionChanged chan struct{} // closed and replaced when version rises
+	machineTypes       map[string]protocol.MachineType
+	jobs               map[string]*bookkeeping.Job
+	members            map[string]*bookkeeping.Member
+	slotRecords        map[int]*bookkeeping.Slot
+	registeredMachines map[string]*bookkeeping.Machine
+	slots              map[int]*heldSlot
+	workersByID        map[string]*worker
+	changedJobs        map[string]bool  // looked at in the next tick
+	finalJobs          []string         // jobs in a final state, oldest first
+	removed            []removedMachine // newest last; bounded
+	returnedMachines   recentNames      // machines that were returned
+	version            uint64
+	versionChanged     chan struct{} // closed and replaced when version rises
 
 	window       *bookkeeping.Window // adopted: only its owners' requests are accepted
 	latestWindow *bookkeeping.Window // newest known; may start later
@@ -52,12 +52,12 @@
 	// sessionsLost counts the sessions that ended.
 	sessionsLost int
 	// releasing holds the slots given up whose records do not show it yet.
-	releasing        map[int]*heldSlot
-	writingSlots     bool
-	lastDrainWish    uint64                       // the newest drain request (DrainArgs.Wish)
-	opinions         map[string]placement.Verdict // of jobs that failed on some machine
-	foundBatches     uint64                       // batches of unregistered machines that this holder registered
-	registeringFound bool
+	releasing         map[int]*heldSlot
+	writingSlots      bool
+	lastDrainSequence uint64                       // of the newest drain request (DrainArgs.Wish)
+	verdicts          map[string]placement.Verdict // of jobs that failed on some machine
+	foundBatches      uint64                       // batches of unregistered machines that this holder registered
+	registeringFound  bool
 	// checkingReachability: most workers went silent together. The holder is finding out whether they can't
 	// reach this controller, or has found that they can't and waits for them.
 	checkingReachability bool
@@ -123,31 +123,31 @@
 	}
 	now := time.Now()
 	return &Holder{
-		actor:            newActor(ctx),
-		cfg:              c,
-		quotas:           c.Quotas,
-		session:          session,
-		store:            store,
-		workers:          workers,
-		started:          now,
-		boundUntil:       now.Add(membership.RecoveryPeriod),
-		grantedMoratoria: map[string]membership.Grant{},
-		watermark:        membership.NewWatermark(siblings),
-		announcing:       map[string]announcementState{},
-		acknowledged:     make(chan struct{}),
-		misrouted:        map[string]misroutedReport{},
-		machineTypes:     map[string]protocol.MachineType{},
-		jobs:             map[string]*bookkeeping.Job{},
-		members:          map[string]*bookkeeping.Member{},
-		slotRecords:      map[int]*bookkeeping.Slot{},
-		registry:         map[string]*bookkeeping.Machine{},
-		slots:            map[int]*heldSlot{},
-		workersByID:      map[string]*worker{},
-		changedJobs:      map[string]bool{},
-		opinions:         map[string]placement.Verdict{},
-		releasing:        map[int]*heldSlot{},
-		versionChanged:   make(chan struct{}),
-		fences:           map[string]protocol.Token{},
+		actor:              newActor(ctx),
+		cfg:                c,
+		quotas:             c.Quotas,
+		session:            session,
+		store:              store,
+		workers:            workers,
+		started:            now,
+		boundUntil:         now.Add(membership.RecoveryPeriod),
+		grantedMoratoria:   map[string]membership.Grant{},
+		watermark:          membership.NewWatermark(siblings),
+		announcing:         map[string]announcementState{},
+		acknowledged:       make(chan struct{}),
+		misrouted:          map[string]misroutedReport{},
+		machineTypes:       map[string]protocol.MachineType{},
+		jobs:               map[string]*bookkeeping.Job{},
+		members:            map[string]*bookkeeping.Member{},
+		slotRecords:        map[int]*bookkeeping.Slot{},
+		registeredMachines: map[string]*bookkeeping.Machine{},
+		slots:              map[int]*heldSlot{},
+		workersByID:        map[string]*worker{},
+		changedJobs:        map[string]bool{},
+		verdicts:           map[string]placement.Verdict{},
+		releasing:          map[int]*heldSlot{},
+		versionChanged:     make(chan struct{}),
+		fences:             map[string]protocol.Token{},
 	}
 }
 
@@ -168,7 +168,7 @@
 	return h.version
 }
 
-func (h *Holder) markChanged(w *worker) { w.version, w.settled = h.bumpVersion(), false }
+func (h *Holder) markChanged(w *worker) { w.version, w.reconciled = h.bumpVersion(), false }
 
 func (h *Holder) learnWindow(w *bookkeeping.Window) {
 	if w != nil && (h.latestWindow == nil || w.Number > h.latestWindow.Number) {
@@ -226,8 +226,8 @@
 
 // removeMachine removes a machine that was returned, with all its tasks.
 func (h *Holder) removeMachine(id string) {
-	delete(h.registry, id)
-	h.retired.add(id)
+	delete(h.registeredMachines, id)
+	h.returnedMachines.add(id)
 	if s := h.slots[h.slotOf(id)]; s != nil {
 		delete(s.awaited, id)
 		h.updateCompleteness()
@@ -235,7 +235,7 @@
 	h.dropWorker(id)
 }
 
-// dropWorker forgets a machine's worker, and has the feed say that the machine is gone.
+// dropWorker forgets a machine's worker, and has the feed report that the machine is gone.
 func (h *Holder) dropWorker(id string) {
 	w := h.workersByID[id]
 	if w == nil {
@@ -262,7 +262,7 @@
 	if !j.Final() {
 		return
 	}
-	delete(h.opinions, j.Spec.ID)
+	delete(h.verdicts, j.Spec.ID)
 	if old != nil && old.Final() {
 		return
 	}
@@ -277,16 +277,16 @@
 		h.removeMachine(id)
 		return
 	}
-	if h.retired.has(id) {
+	if h.returnedMachines.has(id) {
 		return
 	}
-	h.registry[id] = m
+	h.registeredMachines[id] = m
 	if w := h.workersByID[id]; w != nil {
 		h.markChanged(w)
 	}
 }
 
-// maxRecordsGap is the longest gap in the news of the records within which no change was missed: the state
+// maxRecordsGap is the longest gap in the updates of the records within which no change was missed: the state
 // service keeps the changes of a longer time. After a longer gap the records may have been read afresh.
 const maxRecordsGap = 30 * time.Second
 
--- a/internal/coordination/quota_owner.go
+++ b/internal/coordination/quota_owner.go
@@ -41,7 +41,7 @@
 	return o.newAttempt()
 }
 
-// wantPermits adds a want for permits for tasks of a job to the next request. If attempt is 0, each task gets
+// wantPermits adds permits for tasks of a job to the wants of the next request. If attempt is 0, each task gets
 // an attempt number of its own; otherwise all share it. together asks for all of them or none.
 func (o *Owner) wantPermits(js *jobState, indexes []int, attempt uint64, together bool, now time.Time) {
 	if len(indexes) == 0 || now.Before(js.nextPermitRequest) {
@@ -86,8 +86,8 @@
 	return true
 }
 
-// borrow drops permits that are no longer usable and sends this round's wants to the authorities.
-func (o *Owner) borrow(now time.Time) {
+// requestPermits drops permits that are no longer usable and sends this round's wants to the authorities.
+func (o *Owner) requestPermits(now time.Time) {
 	for id, js := range o.quotas.withPermits {
 		for index, p := range js.permits {
 			if !js.owns(index) || p.term != o.session.Term() || now.After(p.expires) {
@@ -101,7 +101,7 @@
 	}
 	for _, team := range o.quotas.tree.Teams() {
 		pending := o.teamRequest(team)
-		if pending.inFlight || len(pending.wants) == 0 && now.Sub(pending.sentAt) < borrowInterval || !o.allHoldersAnswered() {
+		if pending.inFlight || len(pending.wants) == 0 && now.Sub(pending.sentAt) < permitRequestInterval || !o.allHoldersAnswered() {
 			if !pending.inFlight {
 				pending.wants = nil // the next round makes the wants again
 			}
@@ -130,7 +130,7 @@
 		o.quotas.requestCount++
 		if name == o.cfg.Name {
 			if reply, ok := o.lend(&request, now); ok {
-				o.applyReply(&request, &reply, now)
+				o.applyLendReply(&request, &reply, now)
 			}
 			continue
 		}
@@ -147,15 +147,15 @@
 				if err != nil {
 					slog.Debug("quota request failed", "authority", name, "team", team, "err", err)
 				} else {
-					o.applyReply(&request, &reply, time.Now())
+					o.applyLendReply(&request, &reply, time.Now())
 				}
 			})
 		}()
 	}
 }
 
-// applyReply takes in an authority's reply.
-func (o *Owner) applyReply(r *quota.Request, reply *quota.Reply, now time.Time) {
+// applyLendReply applies an authority's reply: permits, limiting accounts and tasks that have to stop.
+func (o *Owner) applyLendReply(r *quota.Request, reply *quota.Reply, now time.Time) {
 	if r.Term != o.session.Term() {
 		return // the next request does not list these permits as held, which returns them
 	}
@@ -165,7 +165,7 @@
 	}
 	for n, want := range r.Wants {
 		js := o.active[want.Job]
-		if js == nil || len(js.shares) == 0 || n >= len(reply.Binds) {
+		if js == nil || len(js.ownedBlocks) == 0 || n >= len(reply.Binds) {
 			continue
 		}
 		js.limitingAccount = reply.Binds[n]
@@ -231,9 +231,9 @@
 }
 
 // limitingAccount returns the account whose limit prevents more of a job from starting, or "". For this
-// owner's jobs it is what the authority said; for other owners' jobs it is derived from the board.
+// owner's jobs it is what the authority reported; for other owners' jobs it is derived from the board.
 func (o *Owner) limitingAccount(js *jobState, now time.Time) string {
-	if len(js.shares) > 0 || js.job.Final() || o.account(js) == "" {
+	if len(js.ownedBlocks) > 0 || js.job.Final() || o.account(js) == "" {
 		return js.limitingAccount
 	}
 	need := js.job.Spec.Need()
--- a/internal/coordination/slots.go
+++ b/internal/coordination/slots.go
@@ -105,8 +105,8 @@
 	return claims
 }
 
-// claimFor returns the claim that takes a slot, if nobody can be acting for it. Another process may be acting
-// for it as long as its session lives, which its member record shows.
+// claimFor returns the claim that takes a slot; may is false while another process may be acting for the slot.
+// The former holder may do so until its session ends, which its member record shows.
 func (h *Holder) claimFor(slot int, incarnation uint64) (c bookkeeping.Claim, may bool) {
 	c = bookkeeping.Claim{Slot: slot, Seen: h.slotRecords[slot]}
 	if c.Seen == nil || c.Seen.Holder == "" {
@@ -166,8 +166,8 @@
 					if s == nil || s.term != term {
 						continue
 					}
-					if h.registry[m.ID] == nil && !h.retired.has(m.ID) {
-						h.registry[m.ID] = m
+					if h.registeredMachines[m.ID] == nil && !h.returnedMachines.has(m.ID) {
+						h.registeredMachines[m.ID] = m
 					}
 					if w := h.workersByID[m.ID]; s.roster[m.Number()] && !(w != nil && w.verified) {
 						s.awaited[m.ID] = true
@@ -231,7 +231,7 @@
 		if slot < len(h.latestWindow.Assignment) && h.members[h.latestWindow.Assignment[slot]] == nil || rec == nil || rec.Term != s.term {
 			continue
 		}
-		// Stop acting for the slot before its record says so.
+		// Stop acting for the slot before its record shows the release.
 		h.forgetSlot(s)
 		h.releasing[slot] = s
 	}
@@ -306,7 +306,7 @@
 		return rosters[s]
 	}
 	for _, w := range h.workersByID {
-		if n := protocol.MachineNumber(w.id); w.verified && w.slot.ready && h.registry[w.id] != nil && !w.slot.roster[n] {
+		if n := protocol.MachineNumber(w.id); w.verified && w.slot.ready && h.registeredMachines[w.id] != nil && !w.slot.roster[n] {
 			if r := roster(w.slot); r != nil {
 				r[n] = true
 			}
@@ -314,7 +314,7 @@
 	}
 	registered := map[uint64]bool{}
 	if len(rosters) > 0 {
-		for id := range h.registry {
+		for id := range h.registeredMachines {
 			registered[protocol.MachineNumber(id)] = true
 		}
 	}
@@ -356,7 +356,7 @@
 	var unregistered []bookkeeping.Machine
 	now := time.Now()
 	for _, w := range h.workersByID {
-		if w.verified && h.registry[w.id] == nil && now.Sub(w.firstHeard) > registerFoundAfter {
+		if w.verified && h.registeredMachines[w.id] == nil && now.Sub(w.firstHeard) > registerFoundAfter {
 			unregistered = append(unregistered, bookkeeping.Machine{ID: w.id, Type: w.machineType, Zone: w.zone, Spot: w.spot, RentedMs: now.UnixMilli()})
 		}
 	}
