--- a/cmd/daledyke/up.go
+++ b/cmd/daledyke/up.go
@@ -94,7 +94,7 @@
 	ended := make(chan string, o.controllers)
 	d := lab.Example(o.controllers, o.machines)
 	d.SpeedUp(10)
-	u, err := lab.BringUp(ctx, d, lab.UpOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Listen: o.door,
+	u, err := lab.StartLocal(ctx, d, lab.LocalOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Listen: o.door,
 		Exited: func(name string, err error) { ended <- fmt.Sprintf("%s ended: %v; its log is %s.log", name, err, name) }})
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 }
 
 // awaitReady waits until all controllers take requests, or one of them has ended.
-func awaitReady(ctx context.Context, u *lab.Up, ended <-chan string, dir string) error {
+func awaitReady(ctx context.Context, u *lab.LocalDeployment, ended <-chan string, dir string) error {
 	ctx, cancel := context.WithTimeout(ctx, upReady)
 	defer cancel()
 	ready := make(chan error, 1)
--- a/internal/balance/vacate.go
+++ b/internal/balance/vacate.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// SettledAfter is the cool-off of a replica after its start, moved or not: it is not moved earlier.
+	// SettledAfter is how long a replica must have run before it is moved, or moved again.
 	SettledAfter = time.Minute
 	// keepHorizon is for how long a machine is assumed to be kept if it is not vacated. Services run for
 	// long, but other work may come to use the room.
@@ -37,8 +37,8 @@
 // Vacate selects machines to be emptied: those that only settled services keep, and whose services fit on
 // machines that other services keep anyway and that have the images. It is called after fleet.Plan and does not
 // count on room that the plan uses. grown holds the types of which machines were rented less than GrowthCooldown
-// ago. vacating holds the machines selected before; for them the thresholds are lower, so that a move is not
-// given up lightly. moveBudget bounds how many more replicas may be moved.
+// ago. vacating holds the machines selected before; for them the thresholds are lower, so that a move
+// that has begun is seldom abandoned. moveBudget bounds how many more replicas may be moved.
 func Vacate(in *fleet.Input, grown, vacating map[string]bool, moveBudget int) (chosen []string) {
 	v := plan{in: in, expensiveTypes: placement.ExpensiveTypesCache(in.Types), freeRoom: map[string]float64{}, count: map[string]int{}, emptied: map[*fleet.Machine]bool{}, receives: map[*fleet.Machine]bool{}}
 	for _, m := range in.Machines {
@@ -49,7 +49,7 @@
 	}
 	var candidates []*fleet.Machine
 	for _, m := range in.Machines {
-		// A machine that is being vacated stays a candidate while its last replica is away.
+		// A machine that is being vacated remains a candidate after its last replica has left it.
 		// Machines on which all services are too expensive are candidates even if their type has grown.
 		if ok := len(m.Replicas) > 0 || vacating[m.ID]; ok && !m.Booting && !m.Draining && !m.OtherTasks && !m.Packed && (!grown[m.Type] || v.allExpensive(m)) && v.worthVacating(m) {
 			candidates = append(candidates, m)
@@ -174,8 +174,8 @@
 			if len(t.Replicas) == 0 && !(leavesExpensive && !expensive[t.Type]) || !leavesExpensive && !slices.Contains(t.Images, r.Spec.Image) || (r.Spec.Scatter && !leavesExpensive || r.Spec.OneZone) && t.Zone != m.Zone {
 				continue
 			}
-			// A place that costs more is no target: boxes filled by a replica were emptied into racks, which
-			// then stayed for it at four times the price.
+			// Replicas are not moved to machines where they cost more: replicas that each filled a small machine
+			// were moved to large ones, which were then kept for them at four times the price.
 			if v.replicaCost(t, r.Spec) > v.replicaCost(m, r.Spec)*costTolerance {
 				continue
 			}
--- a/internal/balance/vacate_test.go
+++ b/internal/balance/vacate_test.go
@@ -135,7 +135,7 @@
 	})
 }
 
-// Readable snapshots, one for each rule.
+// One small snapshot for each rule.
 func TestVacate(t *testing.T) {
 	type testMachine struct {
 		replicas   int
@@ -197,8 +197,8 @@
 }
 
 // Services move away from types on which they cost far more than elsewhere, even to machines that no service
-// keeps and that lack their image, and never to a place that costs more than theirs. Boxes that a replica fills
-// were emptied into racks with room, which stayed for them.
+// keeps and that lack their image, and never to machines on which they cost more. The test guards against moves
+// of replicas from small machines that they fill to large machines, which are then kept for them.
 func TestServicesMoveToCheaperMachines(t *testing.T) {
 	small := map[string]protocol.MachineType{
 		"box":  {Name: "box", Cores: 4, RAM: 16, Price: 1, FetchRate: 1, BootS: 20, Zones: []string{"a"}},
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -11,8 +11,8 @@
 
 // Board is a controller's view of all machines and of the tasks that may be on them, assembled from the news
 // of the machines' holders. A single actor owns and changes it. Silence never removes anything from it: a task
-// that may be on a machine stays until its holder's believed reports lack it or the machine is gone
-// (docs/design.md, invariants 3 and 4).
+// that may be on a machine stays until the holder under the slot's newest term reports the machine without it, or
+// the machine is gone (docs/design.md, invariants 3 and 4).
 type Board struct {
 	// Machines by their ids.
 	Machines map[string]*Machine
@@ -21,7 +21,7 @@
 	// Tasks by job and task index. A task has at most one instance unless something went wrong.
 	Tasks map[string]map[int][]*Instance
 	// StartCommandLifetime is how long a start command may be in transit. A task that was about to be
-	// started when its machine changed hands is kept as lost there for that long, unless it is seen.
+	// started when its machine got a new holder is kept there as lost for that long, unless it is reported.
 	StartCommandLifetime time.Duration
 }
 
@@ -50,7 +50,7 @@
 	Version uint64
 	// RequestedAt is when that reply was requested.
 	RequestedAt time.Time
-	// Window is the newest window that the holder obeyed when it last reported the slot as complete.
+	// Window is the newest window that the holder followed when it last reported the slot as complete.
 	Window uint64
 	// Machines are those of the slot; stale: some of them were last reported under an older term.
 	Machines map[string]*Machine
@@ -76,8 +76,8 @@
 	return &Board{Machines: map[string]*Machine{}, Slots: map[int]*Slot{}, Tasks: map[string]map[int][]*Instance{}}
 }
 
-// Apply takes in a holder's news, requested at requestedAt, and returns the jobs whose tasks it touches. What
-// was made under an older term of a slot is ignored.
+// Apply applies a holder's news, requested at requestedAt, and returns the jobs whose tasks may have changed.
+// Views made under an older term of a slot are ignored.
 func (b *Board) Apply(holder string, news *News, requestedAt, now time.Time) (touched map[string]bool) {
 	touched = map[string]bool{}
 	for _, sv := range news.Slots {
@@ -175,9 +175,9 @@
 	m.updateEmptySince(now)
 }
 
-// keepUntil is until when to keep an instance that its machine's newest view may lack; handedOver tells whether
-// the machine changed hands. The former holder's start command may still be in transit: the new holder's token
-// voids it, unless the machine restarts and forgets the token.
+// keepUntil returns until when an instance is kept if its machine's newest view does not list it; handedOver
+// reports that the machine has a new holder. The former holder's start command may still be in transit: the
+// machine rejects it once it has the new holder's token, but a machine that restarts forgets the token.
 func (b *Board) keepUntil(i *Instance, handedOver bool, now time.Time) time.Time {
 	if handedOver && i.State == TaskStarting {
 		return now.Add(b.StartCommandLifetime)
@@ -265,7 +265,7 @@
 	return s != nil && s.Term == v.Term
 }
 
-// AllComplete reports whether every slot is fully known from holders that obey at least the given window.
+// AllComplete reports whether every slot is complete and its holder follows the given window or a later one.
 func (b *Board) AllComplete(slots int, window uint64) bool {
 	for s := range slots {
 		if x := b.Slots[s]; x == nil || !x.Complete || x.Window < window {
--- a/internal/board/news.go
+++ b/internal/board/news.go
@@ -27,7 +27,7 @@
 // there may still be in transit, so the task must not be started elsewhere yet.
 const CauseLost = "lost"
 
-// Unconfirmed reports whether a state is one of the holder's own.
+// Unconfirmed reports whether a state is one of the holder's own, of a start that the worker has not confirmed.
 func Unconfirmed(state string) bool {
 	return state == TaskReserved || state == TaskQueued || state == TaskStarting
 }
@@ -63,8 +63,8 @@
 	// Vacates: the tasks here are to be moved elsewhere. Versions without this field ignore it, and place
 	// nothing here since the machine is not usable.
 	Vacates bool
-	// Drained is the number of the drain request since which the machine has been kept free without a
-	// break, if no task can be on it; else 0.
+	// Drained is the number of a drain request if no task can be on the machine and it has accepted no
+	// start since that request; otherwise 0.
 	Drained uint64
 	// Images are cached, or being fetched if Pulling names them.
 	Images  []string
@@ -95,7 +95,7 @@
 	Version     uint64
 	// Full: the reply holds all machines, not only those that changed.
 	Full bool
-	// Window is the newest window whose owners the holder obeys.
+	// Window is the newest window that the holder follows: it accepts requests from that window's owners.
 	Window uint64
 	// Valid: the holder's session certainly lives.
 	Valid bool
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -288,7 +288,7 @@
 				rate += 1 / e.Mean.Seconds()
 			}
 		}
-		rate /= float64(placement.CountWanted(m, wanted))
+		rate /= float64(placement.CountWantedImages(m, wanted))
 		for _, image := range m.Images {
 			if rate > 0 && !slices.Contains(m.Pulling, image) {
 				rates[image] += rate
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -55,17 +55,17 @@
 // taskTurnaround is the time from the end of a task to the start of the next in the same room.
 const taskTurnaround = time.Second
 
-// ConcurrentTasks is for how many of an array's tasks there should be room at the same time: short tasks can
-// use the same room one after the other in the time that is left once a machine is ready. Estimates are taken
-// to be wrong by half, and a fifth of the time is not counted on. Without this reuse a huge array of tasks of a
-// few seconds had the whole cloud rented.
+// ConcurrentTasks returns for how many of an array's tasks there should be room at the same time: short tasks can
+// use the same room one after the other in timeLeft. As a margin, tasks are taken to run half as long again as
+// estimated, and a fifth of timeLeft is left out. Without this reuse a huge array of tasks of a few seconds had
+// the whole cloud rented.
 func ConcurrentTasks(tasks int, estimate, timeLeft time.Duration) int {
 	runsPerSlot := max(1, int(timeLeft*4/5/(estimate*3/2+taskTurnaround)))
 	return (tasks + runsPerSlot - 1) / runsPerSlot
 }
 
-// Allowance is what a team may still use of its limits, CPUs and GPUs, while its jobs are gone through. It is
-// shared by all of the team's jobs: when each job was granted the whole limit, 388 machines were rented for a
+// Allowance is what a team may still use of its limits, CPUs and GPUs, while demands are derived from its jobs. All
+// of the team's jobs share it: when each job was granted the whole limit, 388 machines were rented for a
 // burst of 400 jobs of a team for which 50 machines would have done.
 type Allowance struct {
 	cores, accels float64
@@ -125,11 +125,12 @@
 	return ready, fetch
 }
 
-// SpareTasks is for how many tasks of a class room should be kept ready, if startTarget leaves no time to wait
-// for a machine to boot: for as many as arrive in the time by which a machine rented for them would be late,
-// with some margin, times the operators' scale. preempt: room that preemption frees will do. Only that time
-// counts and not the whole boot: otherwise a class whose images alone take nearly as long as its target had a
-// third of the fleet kept empty.
+// SpareTasks returns for how many future tasks of a class room should be kept ready because a machine rented on
+// their arrival would miss startTarget. It is the number of tasks that arrive in the time by which the machine
+// would miss it, times the operators' scale, with some margin; preempt reports that room freed by preemption is
+// ready soon enough.
+// Arrivals during the whole boot and fetch do not count: when they did, a third of the fleet was kept empty for
+// a class whose image fetch alone takes nearly as long as its target.
 func SpareTasks(c *Class, types map[string]protocol.MachineType, startTarget time.Duration, scale float64, now, started time.Time) (n int, preempt bool) {
 	ready, fetch := FastestReady(types, c.Spec, c.ImageGB)
 	if ready == math.MaxInt64 || startTarget >= ready {
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -163,8 +163,8 @@
 				if !d.allows(b) || in.Refused(Kind{t.Name, zone, spot}) {
 					continue
 				}
-				fit := t.Room().Times(d.Spec.Need(), left)
-				if fit == 0 {
+				fitting := t.Room().Times(d.Spec.Need(), left)
+				if fitting == 0 {
 					continue
 				}
 				price := t.Price
@@ -173,8 +173,8 @@
 				}
 				// The share that a task takes of the machine counts, not the whole machine, as long as other
 				// work can use the rest.
-				price *= max(d.Spec.Need().Share(t.Room()), 0.6/float64(fit))
-				if in.Scarce[t.Name] && fit < left {
+				price *= max(d.Spec.Need().Share(t.Room()), 0.6/float64(fitting))
+				if in.Scarce[t.Name] && fitting < left {
 					price *= 1.1
 				}
 				// A machine that will be ready too late is worth less, however cheap.
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -116,7 +116,8 @@
 	for _, b := range p.bins {
 		p.perZone[b.Zone]++
 	}
-	// Demands of filler work must not keep a machine: they are packed once the unneeded machines are known.
+	// Filler work is no reason to keep a machine, so its demands are packed after the unneeded machines are
+	// determined.
 	firstFiller := len(in.Demands)
 	if k := slices.IndexFunc(in.Demands, func(d Demand) bool { return d.Filler }); k >= 0 {
 		firstFiller = k
@@ -134,11 +135,11 @@
 	return p.rentals(), unneeded
 }
 
-// maxMisplaced bounds the replicas for which cheaper room is kept at a time.
+// maxMisplaced bounds how many replicas on expensive machines get cheaper room at a time, see misplaced.
 const maxMisplaced = 32
 
-// misplaced returns demands for the services on machines where they cost far more than elsewhere: cheaper room
-// is kept ready for them as far as it can be rented, and they move there.
+// misplaced returns demands for the replicas that run on machines where they cost far more than elsewhere. Cheaper
+// room is kept ready for them as far as it can be rented; package balance then moves them there.
 func misplaced(in *Input) (demands []Demand) {
 	demandOf := map[string]int{} // by job
 	expensive := placement.ExpensiveTypesCache(in.Types)
@@ -172,7 +173,7 @@
 	return demands
 }
 
-// zeroZones is a ZoneLeft that lets a demand into none of the zones in which types are offered.
+// zeroZones returns a ZoneLeft that allows no task in any of the zones in which types are offered.
 func (in *Input) zeroZones() map[string]int {
 	left := map[string]int{}
 	for _, t := range in.Types {
@@ -184,8 +185,8 @@
 }
 
 // markFillerOnly marks the machines that run for filler work alone and returns how many there may be: a tenth
-// of the others, and at least two. With no room at all filler work would never end, and it must not cost more
-// than that.
+// of the number of other machines, but at least two. Without any machine of its own filler work might never
+// finish; the bound limits what it costs.
 func (in *Input) markFillerOnly() int {
 	others := 0
 	for _, m := range in.Machines {
@@ -219,8 +220,8 @@
 
 // surplus selects, and marks as draining, machines without tasks that are returned without standing idle first:
 // as many of each type as the others have room for, less SpareRoomShare. Machines with tasks are not emptied
-// for it: that was no cheaper.
-func surplus(in *Input) (empty []string) {
+// for this purpose: doing so did not lower the cost.
+func surplus(in *Input) (unneeded []string) {
 	freeRoom, count := map[string]float64{}, map[string]int{} // by type, in machines
 	for _, m := range in.Machines {
 		if t := in.Types[m.Type]; !m.Booting && !m.Draining {
@@ -234,9 +235,9 @@
 		}
 		freeRoom[m.Type]--
 		m.Draining = true
-		empty = append(empty, m.ID)
+		unneeded = append(unneeded, m.ID)
 	}
-	return empty
+	return unneeded
 }
 
 // chooseZone restricts tasks that must share a zone to the zone whose machines take most of them.
--- a/internal/lab/launcher.go
+++ b/internal/lab/launcher.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// Up is a deployment running on this machine: the emulated world in this process, each controller in a
-// process of its own.
-type Up struct {
+// LocalDeployment is a deployment running on this machine: the emulated world in this process, each controller
+// in a process of its own.
+type LocalDeployment struct {
 	// Address is the address of the gateway, which forwards to the load balancer.
 	Address     string
 	Addresses   Addresses
@@ -208,8 +208,8 @@
 	cancel      context.CancelFunc
 }
 
-// UpOptions are the options of BringUp.
-type UpOptions struct {
+// LocalOptions are the options of StartLocal.
+type LocalOptions struct {
 	// Program is the path of the controllers' program; Settings is the operators' settings file, "" for none.
 	Program, Settings string
 	// Dir holds the settings, the logs and, if Keep is set, the state of the state service.
@@ -221,10 +221,10 @@
 	Exited func(name string, err error)
 }
 
-// BringUp starts a deployment on loopback.
-func BringUp(ctx context.Context, d Deployment, o UpOptions) (up *Up, err error) {
+// StartLocal starts a deployment on loopback.
+func StartLocal(ctx context.Context, d Deployment, o LocalOptions) (up *LocalDeployment, err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	up = &Up{cancel: cancel, controllers: d.Controllers}
+	up = &LocalDeployment{cancel: cancel, controllers: d.Controllers}
 	defer func() {
 		if err != nil {
 			up.Close()
@@ -275,7 +275,7 @@
 }
 
 // Ready waits until every controller accepts requests.
-func (up *Up) Ready(ctx context.Context) error {
+func (up *LocalDeployment) Ready(ctx context.Context) error {
 	for {
 		if len(up.balancer.Healthy()) == len(up.controllers) {
 			return nil
@@ -289,7 +289,7 @@
 }
 
 // Close stops the controllers and the emulated world.
-func (up *Up) Close() {
+func (up *LocalDeployment) Close() {
 	if up.launcher != nil {
 		up.launcher.stop()
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -31,8 +31,8 @@
 // randomSource returns a random generator for one purpose, independent of the generators for other purposes: an
 // additional class leaves the jobs of the others unchanged.
 func randomSource(seed uint64, purpose string) *rand.Rand {
-	// The generator's state is a hash of seed and purpose: without the hash, consecutive seeds, which hunts
-	// use, drew nearly the same faults.
+	// The generator's state is a hash of seed and purpose. Without the hash, consecutive seeds, as in a hunt
+	// for violations, drew nearly the same faults.
 	return rand.New(rand.NewPCG(uint64(protocol.RingToken(fmt.Sprint(purpose, " ", seed))), uint64(protocol.RingToken(purpose))))
 }
 
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -159,15 +159,15 @@
 	return c, err
 }
 
-// line is one curve of a chart.
-type line struct {
+// curve is a named curve of a chart.
+type curve struct {
 	name   string
 	points plotter.XYs
 }
 
 // series returns the curve of a value over the samples.
-func (c *timeline) series(name string, f func(n int) float64) line {
-	l := line{name: name}
+func (c *timeline) series(name string, f func(n int) float64) curve {
+	l := curve{name: name}
 	for n, at := range c.at {
 		l.points = append(l.points, plotter.XY{X: at.Minutes(), Y: f(n)})
 	}
@@ -175,7 +175,7 @@
 }
 
 // rate returns the curve of a count's growth per second.
-func (c *timeline) rate(name string, count func(*history.Sample) float64) line {
+func (c *timeline) rate(name string, count func(*history.Sample) float64) curve {
 	return c.series(name, func(n int) float64 {
 		if n == 0 {
 			return 0
@@ -196,15 +196,15 @@
 	}
 	for _, chart := range []struct {
 		title, y string
-		lines    []line
+		lines    []curve
 	}{
-		{"Tasks that run, jobs that wait", "", []line{c.series("tasks running", at(func(s *history.Sample) float64 { return float64(s.Running) })),
+		{"Tasks that run, jobs that wait", "", []curve{c.series("tasks running", at(func(s *history.Sample) float64 { return float64(s.Running) })),
 			c.series("jobs waiting", at(func(s *history.Sample) float64 { return float64(s.Waiting) }))}},
-		{"Machines", "", []line{c.series("charged", at(func(s *history.Sample) float64 { return float64(s.Machines) }))}},
-		{"CPUs in use", "%", []line{c.series("of those there", at(func(s *history.Sample) float64 { return 100 * s.CoresUsed / max(1, s.Cores) }))}},
-		{"State service", "a second", []line{c.rate("requests", func(s *history.Sample) float64 { return float64(s.StateRequests) }),
+		{"Machines", "", []curve{c.series("charged", at(func(s *history.Sample) float64 { return float64(s.Machines) }))}},
+		{"CPUs in use", "%", []curve{c.series("of those there", at(func(s *history.Sample) float64 { return 100 * s.CoresUsed / max(1, s.Cores) }))}},
+		{"State service", "a second", []curve{c.rate("requests", func(s *history.Sample) float64 { return float64(s.StateRequests) }),
 			c.rate("changes", func(s *history.Sample) float64 { return float64(s.StateChanges) })}},
-		{"Money", "", []line{c.series("spent", at(func(s *history.Sample) float64 { return s.Money }))}},
+		{"Money", "", []curve{c.series("spent", at(func(s *history.Sample) float64 { return s.Money }))}},
 	} {
 		svg, err := drawChart(chart.title, "minutes", chart.y, chart.lines, c.faults)
 		if err != nil {
@@ -225,13 +225,13 @@
 	if err != nil || len(gone.points) == 0 {
 		return p, err
 	}
-	svg, err = drawChart("Until the tasks of cancelled jobs were gone, all seeds", "seconds", "% of those that had any", []line{gone}, nil)
+	svg, err = drawChart("Until the tasks of cancelled jobs were gone, all seeds", "seconds", "% of those that had any", []curve{gone}, nil)
 	p.Charts = append(p.Charts, svg)
 	return p, err
 }
 
 // cancellationTimes returns the share of cancelled jobs whose tasks had ended, by time since the cancellation.
-func (g *Group) cancellationTimes() (l line, err error) {
+func (g *Group) cancellationTimes() (l curve, err error) {
 	merged := newHistogram()
 	for _, s := range g.Runs {
 		if len(s.Cancelled.Took) == 0 {
@@ -248,8 +248,8 @@
 
 // quantileLine returns the curve of the quantiles of a histogram in milliseconds, without points if it is
 // empty.
-func quantileLine(name string, h *hdrhistogram.Histogram) line {
-	l := line{name: name}
+func quantileLine(name string, h *hdrhistogram.Histogram) curve {
+	l := curve{name: name}
 	if h.TotalCount() == 0 {
 		return l
 	}
@@ -260,7 +260,7 @@
 }
 
 // waits returns, for each class, the share of jobs that had begun by time since submission.
-func (g *Group) waits() (lines []line, err error) {
+func (g *Group) waits() (lines []curve, err error) {
 	merged := map[string]*hdrhistogram.Histogram{}
 	for _, s := range g.Runs {
 		for class, c := range s.Classes {
@@ -286,7 +286,7 @@
 	color.RGBA{0x8a, 0x3f, 0x9c, 0xff}, color.RGBA{0x90, 0x50, 0x30, 0xff}, color.RGBA{0x40, 0x40, 0x40, 0xff}}
 
 // drawChart draws curves over shaded intervals in which faults were active.
-func drawChart(title, x, y string, lines []line, faults []faultSpan) (template.HTML, error) {
+func drawChart(title, x, y string, lines []curve, faults []faultSpan) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Y.Min, p.Legend.Top = 0, true
--- a/internal/learn/runs_test.go
+++ b/internal/learn/runs_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The estimate counts until enough tasks ran. Then their run times do, without outliers, and the mean follows a
-// class that suddenly runs three times longer.
+// The estimate is used until enough tasks have completed, then the mean of their run times without outliers. The
+// mean follows a class whose tasks suddenly run three times longer.
 func TestMeanFollowsRecentRunTimes(t *testing.T) {
 	var r RunTimes
 	if got := r.Mean("a", time.Minute); got != time.Minute {
--- a/internal/membership/watermark_test.go
+++ b/internal/membership/watermark_test.go
@@ -20,7 +20,7 @@
 	maxAge          = 16 // greatest age that is distinguished; states with greater ages are not explored
 	never           = int8(-1)
 	maxLagTicks     = 12 // ticks
-	ackTimeoutTicks = 5  // ticks that a version which waits for acknowledgements waits for them
+	ackTimeoutTicks = 5  // ticks after which a version that waits for acknowledgements stops waiting
 )
 
 // reportRequest is a request of the holder for a sibling's report, and its reply.
--- a/internal/placement/delay.go
+++ b/internal/placement/delay.go
@@ -26,17 +26,17 @@
 
 // ReleaseRate is how often per second room for a task comes free on machines that have its image, by the
 // run times of the tasks there. A task is taken to be equally likely to end at any time, since owners'
-// estimates say little about a single task. The room that a machine frees is divided among those of its
-// images that are wanted: when it counted in full for each image, far more tasks waited after a loss of
-// machines than there was room for.
-func (p *Placer) ReleaseRate(machines []*board.Machine, wanted map[string]bool, estimate func(*board.Instance) RunEstimate) (rate float64) {
+// estimates say little about a single task. wantedImages holds the images that waiting tasks need. The room
+// that a machine frees is divided among its wanted images: when it counted in full for each of them, far more
+// tasks waited after a loss of machines than there was room for.
+func (p *Placer) ReleaseRate(machines []*board.Machine, wantedImages map[string]bool, estimate func(*board.Instance) RunEstimate) (rate float64) {
 	need := p.Spec.Need()
 	for _, m := range machines {
 		if !slices.Contains(m.Images, p.Spec.Image) || slices.Contains(m.Pulling, p.Spec.Image) || !p.allowed(m) {
 			continue
 		}
 		free := m.Free.Sub(m.RequestedRoom)
-		share := 1 / float64(CountWanted(m, wanted))
+		share := 1 / float64(CountWantedImages(m, wantedImages))
 		for _, i := range m.Instances {
 			if !i.Running() {
 				continue
@@ -49,10 +49,10 @@
 	return rate
 }
 
-// CountWanted is how many of a machine's images are wanted, at least one.
-func CountWanted(m *board.Machine, wanted map[string]bool) (n int) {
+// CountWantedImages is how many of a machine's images are wanted, at least one.
+func CountWantedImages(m *board.Machine, wantedImages map[string]bool) (n int) {
 	for _, image := range m.Images {
-		if wanted[image] {
+		if wantedImages[image] {
 			n++
 		}
 	}
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -40,8 +40,8 @@
 	// AvoidScarce excludes machines of scarce types. A service would hold such a machine indefinitely
 	// while work that fits nowhere else waits.
 	AvoidScarce bool
-	// Expensive holds the types on which the task, a service's, costs far more than elsewhere;
-	// AvoidExpensive excludes them.
+	// Expensive holds the types on which a replica of a service costs far more than elsewhere, see
+	// ExpensiveTypes; it is empty for other jobs. AvoidExpensive excludes these types.
 	Expensive      map[string]bool
 	AvoidExpensive bool
 	// TasksByZone counts the job's tasks in each zone.
@@ -64,8 +64,8 @@
 }
 
 func (p *Placer) avoids(machine string) bool {
-	_, bad := p.Avoid[machine]
-	return bad
+	_, avoided := p.Avoid[machine]
+	return avoided
 }
 
 // FindCandidates collects the machines with room for a task. Several tasks of a job can be placed on
@@ -118,10 +118,10 @@
 // left unused, and penalties for scarce, expensive and non-spot machines.
 func (p *Placer) Cost(m *board.Machine) float64 {
 	t := p.Types[m.Type]
-	whole := t.Room()
+	capacity := t.Room()
 	c := p.FetchTime(m).Seconds()
 	left := m.Free.Sub(m.RequestedRoom).Sub(p.Spec.Need())
-	c += 8 * left.Share(whole)
+	c += 8 * left.Share(capacity)
 	if p.Scarce[t.Name] && HasNonScarceType(p.Spec, p.Types, p.Scarce) {
 		c += 15 // keep scarce machines free for work that fits nowhere else
 	}
@@ -151,14 +151,14 @@
 // time share the machine's fetch rate.
 func (p *Placer) FetchTime(m *board.Machine) time.Duration {
 	t := p.Types[m.Type]
-	whole := t.FetchTime(p.Spec.ImageGB)
+	fetchAlone := t.FetchTime(p.Spec.ImageGB)
 	switch {
 	case slices.Contains(m.Pulling, p.Spec.Image):
-		return whole / 2 * time.Duration(len(m.Pulling))
+		return fetchAlone / 2 * time.Duration(len(m.Pulling))
 	case slices.Contains(m.Images, p.Spec.Image):
 		return 0
 	}
-	return whole * time.Duration(1+len(m.Pulling))
+	return fetchAlone * time.Duration(1+len(m.Pulling))
 }
 
 // Victim is a task that preemption may evict, with the room that it frees and the cost of evicting it.
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -12,9 +12,9 @@
 
 // The steps of a gang, in the order in which NextGangStep checks for them.
 const (
-	// GangNoAction: nothing is to be done now, as while the gang runs.
+	// GangNoAction: no step is needed now, for example because the gang runs or fetches its image.
 	GangNoAction GangStep = iota
-	// GangClearExited: only exited attempts are left, and they are being cleared.
+	// GangClearExited: only exited attempts are left, and their machines are being told to forget them.
 	GangClearExited
 	// GangReserveAll: no task has an instance; all tasks need room at once.
 	GangReserveAll
@@ -80,8 +80,8 @@
 }
 
 // GangCanAssemble reports whether every task of a gang that has not started has a place, or one was just
-// requested for it, even though some tasks gave up waiting for the late ones. Such a gang keeps its places;
-// a gang with a task that has no place gives up the others.
+// requested for it. Some of its tasks may have stopped waiting for those that started late; they restart in
+// their places. If any task has no place, the gang gives up all places.
 func GangCanAssemble(instances map[int][]*board.Instance, tasks int, requested func(index int) bool) bool {
 	for index := range tasks {
 		if len(instances[index]) == 0 && !requested(index) {
@@ -99,7 +99,7 @@
 // PickGang selects a machine for every task of a gang, nil if there are not enough, and returns how long it
 // takes until the last of them has its image. fallback, if not nil, is called when no machine has room.
 func (p *Placer) PickGang(tasks int, fallback func() (Choice, bool)) (choices []Choice, fetch time.Duration) {
-	// The room of the machines selected so far counts as requested while the others are selected.
+	// While further machines are selected, the room taken on those selected so far counts as requested.
 	defer func() {
 		for _, c := range choices {
 			c.Machine.RequestedRoom = c.Machine.RequestedRoom.Sub(p.Spec.Need())
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -36,17 +36,17 @@
 		step        GangStep
 	}{
 		{instancesIn(w, p, p), none, true, GangNoAction},
-		{instancesIn(incomplete, p, w), none, true, GangNoAction}, // the exited attempt is being forgotten
-		{instancesIn(r, p, w), none, true, GangReplaceMissing},    // and the task restarts in its place
+		{instancesIn(incomplete, p, w), none, true, GangNoAction}, // the machine still remembers the exited attempt
+		{instancesIn(r, p, w), none, true, GangReplaceMissing},    // the exited task is to restart in its place
 		{instancesIn(r, r, w), none, true, GangReplaceMissing},
 		{instancesIn(incomplete, incomplete, incomplete), none, true, GangClearExited},
 		{instancesIn(r, r, r), none, true, GangStart},
-		{instancesIn(incomplete, p, ""), none, false, GangNoAction},    // one has no place: the others give theirs up
-		{instancesIn(incomplete, p, ""), lastTask, true, GangNoAction}, // but one was just requested
+		{instancesIn(incomplete, p, ""), none, false, GangNoAction},    // one task has no place: the others give up theirs
+		{instancesIn(incomplete, p, ""), lastTask, true, GangNoAction}, // a place for the last task was just requested
 		{instancesIn(w, p, ""), none, false, GangReplaceMissing},
 		{instancesIn(r, r, ""), none, false, GangReleaseAll},
-		{instancesIn(incomplete, run, run), none, false, GangBroken}, // it ran
-		{instancesIn("peers", p, w), none, false, GangNoAction},      // it is being stopped, or is broken
+		{instancesIn(incomplete, run, run), none, false, GangBroken}, // the gang ran
+		{instancesIn("peers", p, w), none, false, GangNoAction},      // the gang is being stopped, or is broken
 	} {
 		if got := GangCanAssemble(c.instances, 3, c.requested); got != c.canAssemble {
 			t.Errorf("%v can assemble: %v", c.instances, got)
--- a/internal/placement/limit_reservation.go
+++ b/internal/placement/limit_reservation.go
@@ -7,8 +7,8 @@
 // therefore reserved for the gang, for a bounded time and with gaps, so that neither side starves.
 const (
 	// LimitReservationAfter is how long a gang waits for room within its team's limit before the rest of
-	// the limit is reserved for it. With LimitReservationDuration it may start within four minutes where
-	// tasks end within a minute and a half.
+	// the limit is reserved for it. The team's other tasks then make room by ending: if they end within
+	// LimitReservationDuration, the gang can start within four minutes.
 	LimitReservationAfter = time.Minute
 	// MachineReservationAfter is how long a gang waits for room on machines before room that comes free
 	// is reserved for it, if no machine came up meanwhile.
--- a/internal/placement/machine_reservation.go
+++ b/internal/placement/machine_reservation.go
@@ -9,8 +9,8 @@
 )
 
 // MachinesToReserve selects the machines, one for each task of a gang, on which room is to be reserved as it
-// comes free; nil if there are not enough. It prefers those that lack least room, and counts as coming free
-// only the room of tasks that end by themselves (estimate gives their run time; services never end).
+// comes free; nil if there are not enough. It prefers the machines that lack the least room. Only tasks that
+// end by themselves count as freeing room (estimate gives their run time; services never end).
 func (p *Placer) MachinesToReserve(machines []*board.Machine, tasks int, estimate func(*board.Instance) RunEstimate) []*board.Machine {
 	need := p.Spec.Need()
 	type candidate struct {
--- a/internal/placement/team_order.go
+++ b/internal/placement/team_order.go
@@ -61,12 +61,12 @@
 		level int
 		name  string
 	}
-	places, before := make([]place, len(jobs)), map[team]int{}
+	places, tasksBefore := make([]place, len(jobs)), map[team]int{}
 	for i, j := range jobs {
 		q := queued(j)
 		t := team{q.Level, q.Team}
-		places[i] = place{j, q.Level, (before[t] + int(recent.placed[q.Team])) / tasksPerTurn}
-		before[t] += min(q.Tasks, tasksPerTurn)
+		places[i] = place{j, q.Level, (tasksBefore[t] + int(recent.placed[q.Team])) / tasksPerTurn}
+		tasksBefore[t] += min(q.Tasks, tasksPerTurn)
 	}
 	slices.SortStableFunc(places, func(a, b place) int { return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.turn, b.turn)) })
 	for i := range places {
--- a/internal/quota/authority.go
+++ b/internal/quota/authority.go
@@ -84,7 +84,7 @@
 	bypassPeriod  = 20 * time.Second
 	// reclaimInterval is the time between two decisions about what has to stop.
 	reclaimInterval = time.Second
-	// yieldTimeout is how long the authority waits for a task that it told to stop before it decides anew.
+	// yieldTimeout is how long the authority waits for a task that it told to stop before it decides again.
 	yieldTimeout = 30 * time.Second
 )
 
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -112,8 +112,9 @@
 	if account < 0 {
 		return
 	}
-	// At the claim's own account, lower ranks leave room for it. At precedenceAt, where a guarantee below
-	// competes with other claims for the limit, all ranks leave room for it.
+	// At the claim's own account, claims of lower ranks have to leave room for it. At precedenceAt claims of
+	// all ranks have to. That is the claim's own account if it guarantees the claim, else the parent of the
+	// account that does, where that account competes with its siblings for the limit.
 	precedenceAt := -1
 	if c.guaranteedBy >= 0 {
 		if precedenceAt = l.tree.parent[c.guaranteedBy]; c.guaranteedBy == account {
--- a/internal/quota/preemption.go
+++ b/internal/quota/preemption.go
@@ -24,8 +24,9 @@
 		}
 		return sum
 	}
-	// The total rises with the level. It is linear between the levels at which some participant leaves its
-	// Min or reaches its Max.
+	// The level is the share per unit of weight of all participants that are at neither their Min nor their
+	// Max. The total of the shares rises with it, linearly between the levels at which some participant leaves
+	// its Min or reaches its Max.
 	levels := []float64{0}
 	for _, p := range participants {
 		levels = append(levels, p.Min/p.Weight, p.Max/p.Weight)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -244,7 +244,7 @@
 		if err != nil {
 			t.Fatalf("the linear program fails: %v", err)
 		}
-		// Shares that the level holds at their Max are fixed there. If there are none, the capacity is used
+		// The shares that reach their Max at this level are fixed there. If none does, the capacity is used
 		// up, and all shares are final.
 		atMax := false
 		for i, p := range participants {
--- a/internal/ring/assign.go
+++ b/internal/ring/assign.go
@@ -28,9 +28,9 @@
 	// interval.
 	ImbalanceFactor = 1.3
 	minImprovement  = 0.1
-	// minExcess is by how much the most loaded holder must exceed the mean. Any controller can carry
-	// that much more, and the slots of a small fleet do not move: in a small fleet, a move delayed the
-	// end of a trace's only task.
+	// minExcess is by how much the load of the most loaded holder must exceed the mean. Any controller
+	// can carry that much more. The bound also keeps slots from moving in a small fleet, where a move
+	// delayed the end of a trace's only task.
 	minExcess = 32
 )
 
