--- a/internal/balance/vacate_test.go
+++ b/internal/balance/vacate_test.go
@@ -85,8 +85,7 @@
 	})
 }
 
-// The same snapshot twice gives the same plan, and once a plan is carried out there is less to do each time
-// until there is nothing: services are not moved in circles.
+// When each plan is carried out before the next is made, the plans end: services are not moved in circles.
 func TestVacateConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := fleetOf(t)
--- a/internal/board/news.go
+++ b/internal/board/news.go
@@ -58,7 +58,7 @@
 	Suspect bool
 	Failed  []string
 	Sound   bool
-	// Leaving: the cloud gave notice that it will take the machine away.
+	// Leaving: the cloud gave notice that it will reclaim the machine.
 	Leaving bool
 	// Vacates: the tasks here are to be moved elsewhere. Versions without this field ignore it, and place
 	// nothing here since the machine is not usable.
--- a/internal/fleet/boots.go
+++ b/internal/fleet/boots.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BootTimeouts returns the ages from which a booting machine is not counted on any more (late) and from which
-// it is expected never to come up (never), for a type with the given nominal boot time. Both are raised where
-// the observed boot times of the type are long: otherwise machines were replaced that came up after all.
+// BootTimeouts returns the ages after which plans no longer count on a booting machine (late) and after which it
+// is taken never to boot (never), for a type with the given nominal boot time. Both are raised where the observed
+// boot times of the type are long: otherwise machines were replaced that only booted slowly.
 func BootTimeouts(boot time.Duration, observed []time.Duration) (late, never time.Duration) {
 	late, never = boot*9/5+5*time.Second, boot*13/5+15*time.Second
 	if len(observed) >= 4 {
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -169,7 +169,7 @@
 				}
 				price := t.Price
 				if spot {
-					price = t.SpotPrice * 1.2 // the cloud may take it back
+					price = t.SpotPrice * 1.2 // a surcharge, because the cloud may reclaim a spot machine
 				}
 				// The share that a task takes of the machine counts, not the whole machine, as long as other
 				// work can use the rest.
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -1,6 +1,6 @@
-// Package fleet plans the machines: what to rent for tasks that have no machine, which machines nothing needs
-// any more, and when a late machine is no longer counted on. All decisions are pure functions of a snapshot;
-// the leader calls them and acts on the results.
+// Package fleet plans the machines: what to rent for tasks that have no machine, which machines are no longer
+// needed, and when plans no longer count on a machine that boots late. All decisions are pure functions of a
+// snapshot; the leader calls them and acts on the results.
 package fleet
 
 import (
@@ -95,8 +95,8 @@
 	Class string // of the jobs that need it
 }
 
-// Plan packs the demands into the room that there is and will be, and returns what to rent for the rest and
-// which machines nothing needs.
+// Plan packs the demands into the room on running and booting machines, and returns what to rent for the rest and
+// which machines are unneeded.
 func Plan(in *Input) (rent []Rental, unneeded []string) {
 	last := func(a, b bool) int { // true sorts last
 		switch {
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -57,8 +57,8 @@
 	filled := &Machine{ID: "m3", Type: "small", Zone: "a", FillerRoom: protocol.Room{Cores: 8, Accels: 2, RAM: 64}}
 	high := protocoltest.Job(func(s *protocol.JobSpec) { s.Priority = "high" })
 	for _, spare := range []bool{false, true} {
-		// Filler work is evicted for expected work, too: otherwise it took the machines rented to be kept ready,
-		// again and again.
+		// Filler work is evicted for expected work, too. Otherwise it repeatedly took the machines that had been
+		// rented to be kept ready.
 		filled.Free = protocol.Room{}
 		if rent, _ := plan([]*Machine{filled}, Demand{Spec: high, Count: 2, Spare: spare}); total(rent) != 0 {
 			t.Errorf("filler work must be evicted before renting, but rented %+v", rent)
@@ -70,21 +70,21 @@
 	}
 }
 
-// Late machines are not replaced while others of their type are late, too, and one that never comes up is still
-// returned.
+// The timeouts are raised where boot times of the type are long, but remain bounded, so that a machine that never
+// boots is still returned.
 func TestBootTimeouts(t *testing.T) {
 	const boot = 40 * time.Second
 	usualLate, usualNever := BootTimeouts(boot, nil)
 	if usualLate != 77*time.Second || usualNever != 119*time.Second {
-		t.Errorf("nothing observed: %v, %v", usualLate, usualNever)
+		t.Errorf("no boot times observed: %v, %v", usualLate, usualNever)
 	}
 	slow := []time.Duration{90 * time.Second, 95 * time.Second, 110 * time.Second, 100 * time.Second, 30 * time.Second}
 	if late, never := BootTimeouts(boot, slow); late != 125*time.Second || never != 200*time.Second {
-		t.Errorf("slow ones: %v, %v", late, never)
+		t.Errorf("slow boots observed: %v, %v", late, never)
 	}
 	quick := []time.Duration{time.Second, time.Second, time.Second, time.Second, 300 * time.Second}
 	if late, never := BootTimeouts(boot, quick); late != usualLate || never != usualNever {
-		t.Errorf("quick ones: %v, %v", late, never)
+		t.Errorf("mostly quick boots observed: %v, %v", late, never)
 	}
 }
 
@@ -107,8 +107,8 @@
 	}
 }
 
-// Machines without tasks are returned at once as long as the others have room for unexpected work; demands of
-// filler work keep none.
+// Machines without tasks are returned at once as long as the others have room for unexpected work; filler work is
+// no reason to keep them.
 func TestSurplusMachinesAreReturned(t *testing.T) {
 	fleet := func(busy, empty int) (ms []*Machine) {
 		for n := range busy + empty {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Room is kept ready only for tasks for which a rented machine would be late: a class whose image takes nearly
-// as long as its target had a third of the fleet kept empty.
+// Room is kept ready only for tasks for which a rented machine would be late. The test guards against a third of
+// the fleet being kept empty for a class whose image fetch alone takes nearly as long as its target.
 func TestSpareTasks(t *testing.T) {
 	now := time.Now()
 	arrivals := func(image float64) *Class { // one a second
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -196,7 +196,7 @@
 	}
 	for _, chart := range []struct {
 		title, y string
-		lines    []curve
+		curves   []curve
 	}{
 		{"Tasks that run, jobs that wait", "", []curve{c.series("tasks running", at(func(s *history.Sample) float64 { return float64(s.Running) })),
 			c.series("jobs waiting", at(func(s *history.Sample) float64 { return float64(s.Waiting) }))}},
@@ -206,7 +206,7 @@
 			c.rate("changes", func(s *history.Sample) float64 { return float64(s.StateChanges) })}},
 		{"Money", "", []curve{c.series("spent", at(func(s *history.Sample) float64 { return s.Money }))}},
 	} {
-		svg, err := drawChart(chart.title, "minutes", chart.y, chart.lines, c.faults)
+		svg, err := drawChart(chart.title, "minutes", chart.y, chart.curves, c.faults)
 		if err != nil {
 			return p, err
 		}
@@ -243,12 +243,12 @@
 		}
 		merged.Merge(h)
 	}
-	return quantileLine("cancelled jobs", merged), nil
+	return quantileCurve("cancelled jobs", merged), nil
 }
 
-// quantileLine returns the curve of the quantiles of a histogram in milliseconds, without points if it is
+// quantileCurve returns the curve of the quantiles of a histogram in milliseconds, without points if it is
 // empty.
-func quantileLine(name string, h *hdrhistogram.Histogram) curve {
+func quantileCurve(name string, h *hdrhistogram.Histogram) curve {
 	l := curve{name: name}
 	if h.TotalCount() == 0 {
 		return l
@@ -260,7 +260,7 @@
 }
 
 // waits returns, for each class, the share of jobs that had begun by time since submission.
-func (g *Group) waits() (lines []curve, err error) {
+func (g *Group) waits() (curves []curve, err error) {
 	merged := map[string]*hdrhistogram.Histogram{}
 	for _, s := range g.Runs {
 		for class, c := range s.Classes {
@@ -275,24 +275,24 @@
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(merged)) {
-		if l := quantileLine(class, merged[class]); len(l.points) > 0 {
-			lines = append(lines, l)
+		if l := quantileCurve(class, merged[class]); len(l.points) > 0 {
+			curves = append(curves, l)
 		}
 	}
-	return lines, nil
+	return curves, nil
 }
 
 var palette = []color.Color{color.RGBA{0x1b, 0x6c, 0xa8, 0xff}, color.RGBA{0xd9, 0x6b, 0x0b, 0xff}, color.RGBA{0x2f, 0x8f, 0x4e, 0xff},
 	color.RGBA{0x8a, 0x3f, 0x9c, 0xff}, color.RGBA{0x90, 0x50, 0x30, 0xff}, color.RGBA{0x40, 0x40, 0x40, 0xff}}
 
 // drawChart draws curves over shaded intervals in which faults were active.
-func drawChart(title, x, y string, lines []curve, faults []faultSpan) (template.HTML, error) {
+func drawChart(title, x, y string, curves []curve, faults []faultSpan) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Y.Min, p.Legend.Top = 0, true
 	p.Legend.ThumbnailWidth, p.Legend.Padding, p.Legend.XOffs = vg.Points(14), vg.Points(3), -vg.Points(4)
 	top := 1.0
-	for _, l := range lines {
+	for _, l := range curves {
 		for _, at := range l.points {
 			top = max(top, at.Y)
 		}
@@ -306,7 +306,7 @@
 		area.Color, area.LineStyle.Width = color.RGBA{0, 0, 0, 0x18}, 0
 		p.Add(area)
 	}
-	for n, l := range lines {
+	for n, l := range curves {
 		if len(l.points) == 0 {
 			continue
 		}
--- a/internal/membership/watermark_test.go
+++ b/internal/membership/watermark_test.go
@@ -164,11 +164,11 @@
 		}
 	}
 	add(func(c *watermarkModel) { c.advance(n) })
-	for _, away := range []bool{true, false} { // the service is unavailable to all or to none; below, to the holder or one sibling alone
+	for _, unavailable := range []bool{true, false} { // the service is unavailable to all or to none; below, to the holder or one sibling alone
 		add(func(c *watermarkModel) {
-			c.served = !away
+			c.served = !unavailable
 			for k := range n {
-				c.siblings[k].served = !away
+				c.siblings[k].served = !unavailable
 			}
 		})
 	}
--- a/internal/placement/delay_test.go
+++ b/internal/placement/delay_test.go
@@ -9,8 +9,8 @@
 	"daledyke/internal/protocol"
 )
 
-// Room is released by the running tasks on machines with the image, by their run times; not by services, not on
-// machines that still fetch the image, and not by tasks whose end would not free enough.
+// Running tasks on machines with the image count as releasing room, at a rate given by their run times. Services,
+// tasks on machines that still fetch the image, and tasks whose end would not free enough room do not count.
 func TestReleaseRate(t *testing.T) {
 	machineWith := func(free float64, image string, pulling bool, means ...time.Duration) *board.Machine {
 		m := &board.Machine{Current: true, MachineView: board.MachineView{Type: "box", Zone: "a", Usable: true, Free: protocol.Room{Cores: free, Accels: 4, RAM: 256}, Images: []string{image}}}
--- a/internal/placement/machine_reservation_test.go
+++ b/internal/placement/machine_reservation_test.go
@@ -8,8 +8,8 @@
 	"daledyke/internal/protocol"
 )
 
-// Room is reserved on the machines that lack least, never where services hold it, and not at all if it would
-// not do for the whole gang.
+// Room is reserved on the machines that lack the least room, never where services hold the room, and on no
+// machine if there are not enough machines for the whole gang.
 func TestMachinesToReserve(t *testing.T) {
 	types := map[string]protocol.MachineType{"box": {Name: "box", Cores: 8, RAM: 64}}
 	machine := func(id string, cores ...float64) *board.Machine { // a negative number stands for a service
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -36,7 +36,8 @@
 	CloudRefused func() bool
 }
 
-// AddInstances updates Missing, WaitsForGang and FetchTimeLeft by the job's tasks on machines; done reports which tasks are done.
+// AddInstances updates Missing, WaitsForGang and FetchTimeLeft by the job's tasks on machines; done reports which
+// tasks are done.
 func (w *JobWait) AddInstances(instances map[int][]*board.Instance, done func(index int) bool, types map[string]protocol.MachineType, imageGB float64, now time.Time) {
 	w.FetchTimeLeft = -1
 	for index, list := range instances {
--- a/internal/placement/sample_test.go
+++ b/internal/placement/sample_test.go
@@ -32,9 +32,9 @@
 
 var benchTypes = map[string]protocol.MachineType{"box": {Name: "box", Cores: 32, Accels: 4, RAM: 256, FetchRate: 0.12, Price: 8, SpotPrice: 2, Zones: []string{"a", "b"}}}
 
-// The cost of the best of d sampled machines (d with the image, d without) against a full scan of the same
-// snapshots: with the default of six, tasks are placed worse by at most 2 s on average, with 100 machines as
-// with 6,000.
+// The cost of the best of d sampled machines (d with the image, d without) is compared with that of a full scan of
+// the same snapshots. With the default of six it is at most 2 s higher on average, with 100 machines as with
+// 6,000.
 func TestSampledFitIsNearTheFullScan(t *testing.T) {
 	for _, n := range []int{100, 400, 1400, 6000} {
 		excess := map[int]float64{}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -342,7 +342,7 @@
 	return ok(use.Cores, protected.Cores, limit.Cores) && ok(use.Accels, protected.Accels, limit.Accels)
 }
 
-// TestReclaim checks that a claim within its guarantee takes back borrowed use: workloads of a lower priority
+// TestReclaim checks that a claim within its guarantee reclaims borrowed use: workloads of a lower priority
 // in accounts beyond their guarantee stop, no more of them than needed, and none in accounts within their
 // guarantee.
 func TestReclaim(t *testing.T) {
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -56,7 +56,7 @@
 // no controller without support has appeared since. A controller that is away may return in
 // the version before an upgrade, and would then place what other controllers place, such as
 // all of a job whose blocks other controllers place.
-func allSupport(members map[string]*bookkeeping.Member, names []string, generation int, before bool) bool {
+func allSupport(members map[string]*bookkeeping.Member, names []string, generation int, supportedBefore bool) bool {
 	supporting := 0
 	for _, n := range names {
 		switch m := members[n]; {
@@ -67,7 +67,7 @@
 			supporting++
 		}
 	}
-	return supporting == len(names) || before
+	return supporting == len(names) || supportedBefore
 }
 
 // SlotCount returns the number of slots into which the workers are divided: enough that
