--- a/internal/balance/vacate.go
+++ b/internal/balance/vacate.go
@@ -28,7 +28,7 @@
 	// GrowthCooldown is for how long after machines of a type were rented none of that type are vacated:
 	// other work needs the room then, and moves at such times saved no machine.
 	GrowthCooldown = time.Minute
-	// costTolerance: a place that costs up to this many times as much counts as no more expensive.
+	// costTolerance: a replica may move to a machine where it costs up to this many times as much.
 	costTolerance = 1.25
 	// maxVacatedShare is the share of the fleet that is vacated at a time, or two machines if that is more.
 	maxVacatedShare = 0.02
@@ -96,8 +96,8 @@
 	emptied, receives map[*fleet.Machine]bool
 }
 
-// reservedRoom is how much room of a type is kept free for unexpected work. Less of it is needed to go on
-// vacating a machine than to begin.
+// reservedRoom is how much room of a type is kept free for unexpected work. Half of that suffices to continue
+// vacating a machine.
 func (v *plan) reservedRoom(machineType string, continued bool) float64 {
 	reserved := max(1, fleet.SpareRoomShare*float64(v.count[machineType]))
 	if continued {
@@ -150,8 +150,8 @@
 	return gain > cost
 }
 
-// move finds room on other machines for all services of a machine and takes it; it takes nothing if there
-// is not enough.
+// move reserves room on other machines for all services of a machine, and reserves none if there is not
+// enough.
 func (v *plan) move(m *fleet.Machine) bool {
 	var undos []func()
 	rollback := func() bool {
--- a/internal/balance/vacate_test.go
+++ b/internal/balance/vacate_test.go
@@ -112,7 +112,7 @@
 			if len(emptied) == 0 {
 				return
 			}
-			// Carry the plan out: the emptied machines go, others receive their services.
+			// Carry out the plan: the emptied machines are returned, others receive their services.
 			var remaining []*fleet.Machine
 			for i, m := range copied.Machines {
 				if n := in.Machines[i]; m.Free != n.Free {
--- a/internal/board/news.go
+++ b/internal/board/news.go
@@ -100,7 +100,7 @@
 	// Valid: the holder's session certainly lives.
 	Valid bool
 	// Entitled: nobody else can hold the holder's slots, since its session lives or all siblings granted
-	// it a moratorium. Versions without this field mean Valid.
+	// it a moratorium. Versions without this field send only Valid, which implies it.
 	Entitled bool
 	// ServedMs is how many milliseconds ago the state service last served a request of the holder's
 	// controller, 0 if that is not known; versions without this field never say.
--- a/internal/fleet/boots.go
+++ b/internal/fleet/boots.go
@@ -19,7 +19,7 @@
 	return late, never
 }
 
-// Kind is what the cloud offers, or is out of: a type in a zone, spot or ordinary.
+// Kind is a kind of machine that the cloud may offer: a type in a zone, spot or ordinary.
 type Kind struct {
 	Type, Zone string
 	Spot       bool
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -110,8 +110,9 @@
 	return fits
 }
 
-// FastestReady is how long the fastest machine for a task takes to be rented and to fetch an image of gb GB,
-// and the fetch's part of that time; ready is the longest duration if no type takes the job.
+// FastestReady returns how long it takes on the fastest machine type for a job until a rented machine has booted
+// and fetched an image of gb GB, and how much of that time is the fetch. ready is math.MaxInt64 if no type takes
+// the job.
 func FastestReady(types map[string]protocol.MachineType, s *protocol.JobSpec, gb float64) (ready, fetch time.Duration) {
 	ready = math.MaxInt64
 	for _, t := range types {
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -171,13 +171,13 @@
 				if spot {
 					price = t.SpotPrice * 1.2 // a surcharge, because the cloud may reclaim a spot machine
 				}
-				// The share that a task takes of the machine counts, not the whole machine, as long as other
-				// work can use the rest.
+				// Only the share of the machine that a task takes counts, since other work can use the rest, but
+				// at least 60% of the machine is charged to the tasks of this demand that fit.
 				price *= max(d.Spec.Need().Share(t.Room()), 0.6/float64(fitting))
 				if in.Scarce[t.Name] && fitting < left {
 					price *= 1.1
 				}
-				// A machine that will be ready too late is worth less, however cheap.
+				// The delay beyond the start-time target raises the price that counts.
 				delay := protocol.Seconds(1.3*t.BootS) + t.FetchTime(d.Spec.ImageGB) - d.TimeLeft
 				price *= 1 + 0.015*max(0, delay.Seconds())
 				price *= 1 + 0.1*float64(perZone[zone])/float64(total+1)
--- a/internal/placement/fault.go
+++ b/internal/placement/fault.go
@@ -27,9 +27,10 @@
 	MaxFailedJobs = 8
 )
 
-// JudgeJob judges a job by the machines on which its tasks failed, each with whether something else
-// succeeded there lately, and by whether any task of the job succeeded. The job is at fault after failures
-// on two sound machines, or on three about which nothing is known: three are seldom faulty at once.
+// JudgeJob judges a job by whether any of its tasks succeeded, and by the machines on which its tasks failed.
+// failedOn tells for each of these machines whether it is sound: whether another task succeeded there recently.
+// The job is at fault after failures on two sound machines, or on three about which nothing is known: three
+// machines are seldom faulty at once.
 func JudgeJob(failedOn map[string]bool, succeeded bool) Verdict {
 	if succeeded {
 		return NotAtFault
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -114,5 +114,5 @@
 	}
 }
 
-// MinPreemptingRank is the rank of the lowest priority for which other work is stopped without a guarantee.
+// MinPreemptingRank is the lowest priority rank at which a job that is not within a guarantee preempts other work.
 const MinPreemptingRank = 2
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -30,7 +30,7 @@
 	// MachinesComing reports whether machines that fit are booting, and in how long the first is ready,
 	// negative if that is not known.
 	MachinesComing func() (ready time.Duration, coming bool)
-	// PlaceableFor is for how long the job could have been placed.
+	// PlaceableFor is how long the job has been ready to be placed.
 	PlaceableFor time.Duration
 	// CloudRefused reports whether the cloud has no machine that fits.
 	CloudRefused func() bool
--- a/internal/quota/authority.go
+++ b/internal/quota/authority.go
@@ -76,7 +76,7 @@
 
 // Lifetimes and intervals of the authority.
 const (
-	// claimTTL is how long a claim counts after it was last made.
+	// claimTTL is how long a claim counts after its owner last requested it.
 	claimTTL = 3 * time.Second
 	// A waiting claim has room reserved for reservePeriod, then none for bypassPeriod, in turns, so that
 	// claims that reserve against each other can't block each other for ever.
