--- a/internal/board/news.go
+++ b/internal/board/news.go
@@ -63,8 +63,8 @@
 	// Vacates: the tasks here are to be moved elsewhere. Versions without this field ignore it, and place
 	// nothing here since the machine is not usable.
 	Vacates bool
-	// Drained is the number of a drain request if no task can be on the machine and it has accepted no
-	// start since that request; otherwise 0.
+	// Drained is the number of the drain request since which the machine has been draining without
+	// interruption, if no task can be on the machine; otherwise 0.
 	Drained uint64
 	// Images are cached, or being fetched if Pulling names them.
 	Images  []string
