--- a/internal/balance/vacate.go
+++ b/internal/balance/vacate.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// SettledAfter is the cool-off of a replica after its start, moved or not: it is not moved earlier.
+	// SettledAfter is how long a replica must have run before it is moved, or moved again.
 	SettledAfter = time.Minute
 	// keepHorizon is for how long a machine is assumed to be kept if it is not vacated. Services run for
 	// long, but other work may come to use the room.
@@ -28,7 +28,7 @@
 	// GrowthCooldown is for how long after machines of a type were rented none of that type are vacated:
 	// other work needs the room then, and moves at such times saved no machine.
 	GrowthCooldown = time.Minute
-	// costTolerance: a place that costs up to this many times as much counts as no more expensive.
+	// costTolerance: a replica may move to a machine where it costs up to this many times as much.
 	costTolerance = 1.25
 	// maxVacatedShare is the share of the fleet that is vacated at a time, or two machines if that is more.
 	maxVacatedShare = 0.02
@@ -37,8 +37,8 @@
 // Vacate selects machines to be emptied: those that only settled services keep, and whose services fit on
 // machines that other services keep anyway and that have the images. It is called after fleet.Plan and does not
 // count on room that the plan uses. grown holds the types of which machines were rented less than GrowthCooldown
-// ago. vacating holds the machines selected before; for them the thresholds are lower, so that a move is not
-// given up lightly. moveBudget bounds how many more replicas may be moved.
+// ago. vacating holds the machines selected before; for them the thresholds are lower, so that a move
+// that has begun is seldom abandoned. moveBudget bounds how many more replicas may be moved.
 func Vacate(in *fleet.Input, grown, vacating map[string]bool, moveBudget int) (chosen []string) {
 	v := plan{in: in, expensiveTypes: placement.ExpensiveTypesCache(in.Types), freeRoom: map[string]float64{}, count: map[string]int{}, emptied: map[*fleet.Machine]bool{}, receives: map[*fleet.Machine]bool{}}
 	for _, m := range in.Machines {
@@ -49,7 +49,7 @@
 	}
 	var candidates []*fleet.Machine
 	for _, m := range in.Machines {
-		// A machine that is being vacated stays a candidate while its last replica is away.
+		// A machine that is being vacated remains a candidate after its last replica has left it.
 		// Machines on which all services are too expensive are candidates even if their type has grown.
 		if ok := len(m.Replicas) > 0 || vacating[m.ID]; ok && !m.Booting && !m.Draining && !m.OtherTasks && !m.Packed && (!grown[m.Type] || v.allExpensive(m)) && v.worthVacating(m) {
 			candidates = append(candidates, m)
@@ -96,8 +96,8 @@
 	emptied, receives map[*fleet.Machine]bool
 }
 
-// reservedRoom is how much room of a type is kept free for unexpected work. Less of it is needed to go on
-// vacating a machine than to begin.
+// reservedRoom is how much room of a type is kept free for unexpected work. Half of that suffices to continue
+// vacating a machine.
 func (v *plan) reservedRoom(machineType string, continued bool) float64 {
 	reserved := max(1, fleet.SpareRoomShare*float64(v.count[machineType]))
 	if continued {
@@ -150,8 +150,8 @@
 	return gain > cost
 }
 
-// move finds room on other machines for all services of a machine and takes it; it takes nothing if there
-// is not enough.
+// move reserves room on other machines for all services of a machine, and reserves none if there is not
+// enough.
 func (v *plan) move(m *fleet.Machine) bool {
 	var undos []func()
 	rollback := func() bool {
@@ -174,8 +174,8 @@
 			if len(t.Replicas) == 0 && !(leavesExpensive && !expensive[t.Type]) || !leavesExpensive && !slices.Contains(t.Images, r.Spec.Image) || (r.Spec.Scatter && !leavesExpensive || r.Spec.OneZone) && t.Zone != m.Zone {
 				continue
 			}
-			// A place that costs more is no target: boxes filled by a replica were emptied into racks, which
-			// then stayed for it at four times the price.
+			// Replicas are not moved to machines where they cost more: replicas that each filled a small machine
+			// were moved to large ones, which were then kept for them at four times the price.
 			if v.replicaCost(t, r.Spec) > v.replicaCost(m, r.Spec)*costTolerance {
 				continue
 			}
--- a/internal/quota/authority.go
+++ b/internal/quota/authority.go
@@ -76,7 +76,7 @@
 
 // Lifetimes and intervals of the authority.
 const (
-	// claimTTL is how long a claim counts after it was last made.
+	// claimTTL is how long a claim counts after its owner last requested it.
 	claimTTL = 3 * time.Second
 	// A waiting claim has room reserved for reservePeriod, then none for bypassPeriod, in turns, so that
 	// claims that reserve against each other can't block each other for ever.
@@ -84,7 +84,7 @@
 	bypassPeriod  = 20 * time.Second
 	// reclaimInterval is the time between two decisions about what has to stop.
 	reclaimInterval = time.Second
-	// yieldTimeout is how long the authority waits for a task that it told to stop before it decides anew.
+	// yieldTimeout is how long the authority waits for a task that it told to stop before it decides again.
 	yieldTimeout = 30 * time.Second
 )
 
