--- a/internal/coordination/answers_test.go
+++ b/internal/coordination/answers_test.go
@@ -28,7 +28,7 @@
 
 // latestAnswers returns what any answer said so far.
 func (a *userClient) latestAnswers() (accepted bool, final string) {
-	a.w.em.Rules(func(*history.Checker) { accepted, final = a.accepted, a.finalStatus })
+	a.w.em.WithChecker(func(*history.Checker) { accepted, final = a.accepted, a.finalStatus })
 	return accepted, final
 }
 
@@ -46,7 +46,7 @@
 	case body != nil && path == "/v1/jobs":
 		kind = history.Answered
 	case body != nil:
-		kind = history.CancelTold
+		kind = history.CancelAnswered
 	}
 	known := status == 200 || status == 201
 	if accepted && !known {
@@ -55,9 +55,9 @@
 	if final != "" && known && st.Status != final {
 		a.w.t.Errorf("%s %s at %s: %s after it had been %s", method, path, node, st.Status, final)
 	}
-	a.w.em.Rules(func(r *history.Checker) {
+	a.w.em.WithChecker(func(r *history.Checker) {
 		if a.finalStatus == final || st.Status == a.finalStatus { // the rules allow for one request at a time
-			r.Note(history.Event{At: a.w.em.Since(), Kind: kind, Job: a.job.ID, Code: status, Status: st.Status})
+			r.Observe(history.Event{At: a.w.em.Elapsed(), Kind: kind, Job: a.job.ID, Code: status, Status: st.Status})
 		}
 		a.accepted = a.accepted || known
 		if st.Status == protocol.Done || st.Status == protocol.Cancelled {
@@ -89,7 +89,7 @@
 		all = append(all, func() { a.send(node, http.MethodPost, "/v1/jobs", a.job) })
 	}
 	if cancel {
-		a.w.em.Note(history.Event{Kind: history.CancelAsked, Job: a.job.ID})
+		a.w.em.RecordEvent(history.Event{Kind: history.CancelAsked, Job: a.job.ID})
 		node := any()
 		all = append(all, func() { a.send(node, http.MethodPost, "/v1/jobs/"+a.job.ID+"/cancel", []byte("{}")) })
 	}
@@ -173,7 +173,7 @@
 				defer w.end()
 				ended := map[string]chan struct{}{}
 				w.watch = func(e history.Event) {
-					if id, _, ok := protocol.SplitTask(e.Task); e.Kind == history.Off && e.Cause == protocol.CauseDone && ok && ended[id] != nil {
+					if id, _, ok := protocol.SplitTask(e.Task); e.Kind == history.TaskStopped && e.Cause == protocol.CauseDone && ok && ended[id] != nil {
 						close(ended[id])
 						delete(ended, id)
 					}
@@ -195,7 +195,7 @@
 						Cores: 1, RAM: 1, Image: "img", ImageGB: 1, EstimateS: run}
 					a := &userClient{w: w, rng: rand.New(rand.NewPCG(uint64(n), 7)), job: s, lastTaskDone: make(chan struct{})}
 					w.upload(s, protocol.Seconds(run), 0, false)
-					w.em.Rules(func(*history.Checker) { ended[s.ID] = a.lastTaskDone })
+					w.em.WithChecker(func(*history.Checker) { ended[s.ID] = a.lastTaskDone })
 					go func() {
 						time.Sleep(time.Duration(n) * 3 * time.Second)
 						a.run(n % 3)
--- a/internal/coordination/bad_input_test.go
+++ b/internal/coordination/bad_input_test.go
@@ -133,7 +133,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
 		defer w.end()
-		w.em.CloudOutage(true)
+		w.em.SetCloudOutage(true)
 		time.Sleep(4 * time.Second)
 		for body, status := range badSubmissions() {
 			want := http.StatusServiceUnavailable
--- a/internal/coordination/moves_test.go
+++ b/internal/coordination/moves_test.go
@@ -36,31 +36,31 @@
 		}},
 		{name: "all crash", inject: func(w *world, _ string, _ []string) { w.crash(w.names...); w.start(w.names...) }},
 		{name: "all crash a little later", delay: 700 * time.Millisecond, inject: func(w *world, _ string, _ []string) { w.crash(w.names...); w.start(w.names...) }},
-		{name: "the source dies", inject: func(w *world, from string, _ []string) { w.em.Strike(from, emulator.Dies) }},
-		{name: "the source hangs", inject: func(w *world, from string, _ []string) { w.em.Strike(from, emulator.Hangs) }},
+		{name: "the source dies", inject: func(w *world, from string, _ []string) { w.em.InjectFault(from, emulator.Crash) }},
+		{name: "the source hangs", inject: func(w *world, from string, _ []string) { w.em.InjectFault(from, emulator.Hang) }},
 		{name: "all other machines hang for a while", inject: func(w *world, from string, _ []string) {
 			for _, id := range w.machinesInUse() {
 				if id != from {
-					w.em.Strike(id, emulator.Hangs)
+					w.em.InjectFault(id, emulator.Hang)
 				}
 			}
 			time.Sleep(5 * time.Second)
 			for _, id := range w.machinesInUse() {
-				w.em.Strike(id, emulator.Resumes)
+				w.em.InjectFault(id, emulator.Resume)
 			}
 		}},
 		{name: "half of the other machines die", inject: func(w *world, from string, _ []string) {
 			for n, id := range w.machinesInUse() {
 				if id != from && n%2 == 0 {
-					w.em.Strike(id, emulator.Dies)
+					w.em.InjectFault(id, emulator.Crash)
 				}
 			}
 		}},
 		{name: "the state service is unavailable and an owner crashes", inject: func(w *world, _ string, _ []string) {
-			w.em.State.Outage(true)
+			w.em.State.SetOutage(true)
 			w.crash("c1")
 			time.Sleep(4 * time.Second)
-			w.em.State.Outage(false)
+			w.em.State.SetOutage(false)
 			w.start("c1")
 		}},
 		{name: "a controller is cut off from its siblings", inject: func(w *world, _ string, _ []string) {
@@ -85,7 +85,7 @@
 
 // machinesInUse are the machines that run tasks.
 func (w *world) machinesInUse() (ids []string) {
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		for k := range 40 {
 			for _, id := range r.Machines(fmt.Sprintf("wk-%d", k)) {
 				if !slices.Contains(ids, id) {
@@ -111,7 +111,7 @@
 	staying, cancelled := map[string]string{}, map[string]bool{}
 	for k := range 12 {
 		id := fmt.Sprintf("wk-%d", 10+k)
-		w.em.Rules(func(r *history.Checker) {
+		w.em.WithChecker(func(r *history.Checker) {
 			on := r.Machines(id)[0]
 			if on == "" {
 				t.Fatalf("%s does not run", id)
@@ -129,9 +129,9 @@
 		}
 	}
 	before, stopped := w.machinesInUse(), make(chan string, 100)
-	w.em.Rules(func(*history.Checker) { // w.watch is set on the goroutine that calls it
+	w.em.WithChecker(func(*history.Checker) { // w.watch is set on the goroutine that calls it
 		w.watch = func(e history.Event) {
-			if id, _, _ := strings.Cut(e.Task, "/"); e.Kind == history.Off && !cancelled[id] && e.Cause == "halted" {
+			if id, _, _ := strings.Cut(e.Task, "/"); e.Kind == history.TaskStopped && !cancelled[id] && e.Cause == "halted" {
 				select {
 				case stopped <- e.Machine:
 				default:
@@ -144,13 +144,13 @@
 		time.Sleep(delay)
 		inject(w, from, slices.Sorted(maps.Values(staying)))
 	case <-time.After(3 * time.Minute):
-		t.Fatalf("no replica was moved; %d machines were rented, %d of them are in use", w.em.Made(), len(before))
+		t.Fatalf("no replica was moved; %d machines were rented, %d of them are in use", w.em.MachinesRented(), len(before))
 	}
 	time.Sleep(3 * time.Minute)
 	cancelledLater := 0
 	for _, id := range staying {
 		var on map[int]string
-		w.em.Rules(func(r *history.Checker) { on = r.Machines(id) })
+		w.em.WithChecker(func(r *history.Checker) { on = r.Machines(id) })
 		if _, st := w.ask("GET", "/v1/jobs/"+id, nil); st.Status == protocol.Cancelled {
 			cancelledLater++
 		} else if len(on) != 1 {
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -113,7 +113,7 @@
 		}
 		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c1:1", "front-c2:1"})
 		started := func() (n int) {
-			w.em.Rules(func(r *history.Checker) { n = r.Starts(id) })
+			w.em.WithChecker(func(r *history.Checker) { n = r.Starts(id) })
 			return n
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/coordination/trace_faults_test.go
+++ b/internal/coordination/trace_faults_test.go
@@ -22,19 +22,19 @@
 // strikeSome has something happen to so many machines that run (0: to all), or ends it for those
 // that were struck last. Who restarts when decides how many machines that hung for a while are given
 // up: where too few run at the moment, it waits until those that replace them are up.
-func (w *world) strikeSome(count int, trouble emulator.Trouble) error {
+func (w *world) strikeSome(count int, trouble emulator.MachineFault) error {
 	switch trouble {
-	case emulator.Hears, emulator.Speaks, emulator.Resumes, emulator.Rejoins:
+	case emulator.RestoreInbound, emulator.RestoreOutbound, emulator.Resume, emulator.Rejoin:
 		for _, id := range w.some {
-			w.em.Strike(id, trouble) // it may have been returned meanwhile
+			w.em.InjectFault(id, trouble) // it may have been returned meanwhile
 		}
 		return nil
 	}
-	for waited := time.Duration(0); w.em.Running() < count && waited < moreMachinesWithin; waited += time.Second {
+	for waited := time.Duration(0); w.em.RunningMachines() < count && waited < moreMachinesWithin; waited += time.Second {
 		time.Sleep(time.Second)
 	}
 	anywhere := func(string, bool) bool { return true }
-	w.some = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anywhere)
+	w.some = w.em.InjectFaults(cmp.Or(count, w.em.RunningMachines()), trouble, anywhere)
 	if count > 0 && len(w.some) != count {
 		return fmt.Errorf("%d machines", len(w.some))
 	}
@@ -43,9 +43,9 @@
 
 // strikeHome has something happen to all machines with tasks whose slots are a controller's if all
 // controllers are there.
-func (w *world) strikeHome(controller string, trouble emulator.Trouble) error {
+func (w *world) strikeHome(controller string, trouble emulator.MachineFault) error {
 	var ids []string
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		for _, job := range r.Running() {
 			for _, id := range r.Machines(job) {
 				home := w.names[ring.SlotOf(id, ring.SlotCount(len(w.names)))%len(w.names)]
@@ -60,18 +60,18 @@
 	}
 	var failed error
 	for _, id := range ids {
-		failed = errors.Join(failed, w.em.Strike(id, trouble))
+		failed = errors.Join(failed, w.em.InjectFault(id, trouble))
 	}
 	return failed
 }
 
 func (w *world) cut(args []string) {
 	if args[0] == "off" {
-		w.net.Sever(func(string, string) bool { return false })
+		w.net.Partition(func(string, string) bool { return false })
 		return
 	}
 	name, what := args[0], args[2]
-	w.net.Sever(func(from, to string) bool {
+	w.net.Partition(func(from, to string) bool {
 		mine := from == name || strings.HasSuffix(to, "-"+name+":1")
 		other := to
 		if from != name {
@@ -88,7 +88,7 @@
 	isInside := func(host string) bool {
 		return host == controller || strings.HasPrefix(host, "host-") && w.em.ZoneOf(host) == zone
 	}
-	w.net.Sever(func(from, to string) bool {
+	w.net.Partition(func(from, to string) bool {
 		name := strings.TrimSuffix(to, ":1")
 		for _, role := range []string{"front-", "inner-", "worker-"} { // of the services none belongs to a zone
 			name = strings.TrimPrefix(name, role)
@@ -101,11 +101,11 @@
 func (w *world) strike(task, how string) error {
 	job, index, _ := protocol.SplitTask(task)
 	id := ""
-	w.em.Rules(func(r *history.Checker) { id = r.Machines(job)[index] })
-	if ends := emulator.Trouble(how); ends == emulator.Resumes || ends == emulator.Rejoins {
-		w.em.Strike(w.struck[task], ends) // it may have been returned meanwhile
+	w.em.WithChecker(func(r *history.Checker) { id = r.Machines(job)[index] })
+	if ends := emulator.MachineFault(how); ends == emulator.Resume || ends == emulator.Rejoin {
+		w.em.InjectFault(w.struck[task], ends) // it may have been returned meanwhile
 		return nil
 	}
 	w.struck[task] = id
-	return w.em.Strike(id, emulator.Trouble(how))
+	return w.em.InjectFault(id, emulator.MachineFault(how))
 }
--- a/internal/coordination/trace_jobs_test.go
+++ b/internal/coordination/trace_jobs_test.go
@@ -92,7 +92,7 @@
 // expect JOB machines N: its tasks are on N machines.
 func (w *world) expect(job string, what []string) error {
 	starts, on, machines := 0, 0, map[string]bool{}
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		starts = r.Starts(job)
 		for _, m := range r.Machines(job) {
 			machines[m] = true
@@ -135,11 +135,11 @@
 	if s.Shape == protocol.Service {
 		run = 0
 	}
-	w.em.Upload(s, func(index int) time.Duration { return run + time.Duration(index)*apart }, mistake)
+	w.em.RegisterJob(s, func(index int) time.Duration { return run + time.Duration(index)*apart }, mistake)
 }
 
 // uses is how many CPUs an account's tasks use.
 func (w *world) uses(account string) (cpus float64) {
-	w.em.Rules(func(r *history.Checker) { cpus = r.Uses(account).Cores })
+	w.em.WithChecker(func(r *history.Checker) { cpus = r.Usage(account).Cores })
 	return cpus
 }
--- a/internal/coordination/trace_records_test.go
+++ b/internal/coordination/trace_records_test.go
@@ -36,7 +36,7 @@
 // archive puts a job's record where those of jobs long over stand, in a state.
 func (w *world) archive(id, state string) error {
 	if state == protocol.Cancelled { // as if by its user
-		w.em.Note(history.Event{Kind: history.CancelAsked, Job: id})
+		w.em.RecordEvent(history.Event{Kind: history.CancelAsked, Job: id})
 	}
 	to := bookkeeping.Root + "z/" + id
 	for _, from := range []string{bookkeeping.Root + "j/" + id, to} {
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/trace_test.go
@@ -100,7 +100,7 @@
 	}
 	if c, any := w.slowest(); any {
 		t.Logf("the tasks of cancelled jobs were gone within %.2f of their time; last %s, %v after its user was told, %d starts after that",
-			float64(c.Lasted())/float64(cancelWithin), c.Job, c.Lasted().Round(time.Millisecond), c.StartedAfter)
+			float64(c.Duration())/float64(cancelWithin), c.Job, c.Duration().Round(time.Millisecond), c.StartedAfter)
 	}
 }
 
@@ -164,7 +164,7 @@
 			return err
 		}
 		c.Set = append(c.Set, a)
-		w.em.Rules(func(r *history.Checker) { r.LimitAccount(a.Name, -1) }) // until limit-holds says so
+		w.em.WithChecker(func(r *history.Checker) { r.LimitAccount(a.Name, -1) }) // until limit-holds says so
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -245,7 +245,7 @@
 		switch {
 		case !any:
 			err = errors.New("nothing was cancelled")
-		case err == nil && c.Lasted() > most:
+		case err == nil && c.Duration() > most:
 			err = fmt.Errorf("%+v", c)
 		}
 		return err
@@ -260,9 +260,9 @@
 		}
 		return err
 	case "cancel":
-		w.em.Note(history.Event{Kind: history.CancelAsked, Job: args[0]})
+		w.em.RecordEvent(history.Event{Kind: history.CancelAsked, Job: args[0]})
 		status, st := w.ask(http.MethodPost, "/v1/jobs/"+args[0]+"/cancel", []byte("{}"))
-		w.told(history.CancelTold, args[0], status, st.Status)
+		w.told(history.CancelAnswered, args[0], status, st.Status)
 		if status != 200 {
 			return fmt.Errorf("answer %d", status)
 		}
@@ -275,7 +275,7 @@
 		}
 	case "expect-on": // expect-on JOB N: so many of its tasks are on machines, whoever answers or not
 		on := 0
-		w.em.Rules(func(r *history.Checker) { on = len(r.Machines(args[0])) })
+		w.em.WithChecker(func(r *history.Checker) { on = len(r.Machines(args[0])) })
 		if strconv.Itoa(on) != args[1] {
 			return fmt.Errorf("%d tasks are on machines", on)
 		}
@@ -301,7 +301,7 @@
 		}
 	case "lags": // lags CONTROLLER TIME: it hears of changes so much later
 		lag, err := time.ParseDuration(args[1])
-		w.em.State.Lag(args[0], lag)
+		w.em.State.DelayWatches(args[0], lag)
 		return err
 	case "uses": // uses ACCOUNT N: its tasks use N CPUs
 		use := w.uses(args[0])
@@ -316,7 +316,7 @@
 		}
 	case "limit-holds": // limit-holds ACCOUNT N: from now on the account may not use more than that
 		n, err := strconv.ParseFloat(args[1], 64)
-		w.em.Rules(func(r *history.Checker) { r.LimitAccount(args[0], n) })
+		w.em.WithChecker(func(r *history.Checker) { r.LimitAccount(args[0], n) })
 		if use := w.uses(args[0]); use > n+1e-6 {
 			return fmt.Errorf("uses %v", use)
 		}
@@ -347,7 +347,7 @@
 	case "limits": // limits VALUE_KB TXN_OPS WRITE_RPS: the state service has these from now on
 		var l emulator.Limits
 		_, err := fmt.Sscan(strings.Join(args, " "), &l.ValueKB, &l.TxnOps, &l.WriteRPS)
-		w.em.State.Limit(l)
+		w.em.State.SetLimits(l)
 		return err
 	case "malformed": // malformed N: no more requests than that were called malformed
 		n, err := strconv.Atoi(args[0])
@@ -360,31 +360,31 @@
 	case "start":
 		w.start(args...)
 	case "state-outage":
-		w.em.State.Outage(onOff(args))
+		w.em.State.SetOutage(onOff(args))
 	case "state-slow": // state-slow TIME: its answers take so long, 0s for no more
 		by, err := time.ParseDuration(args[0])
-		w.em.State.Slow(by)
+		w.em.State.DelayAnswers(by)
 		return err
 	case "state-late": // state-late TIME: transactions are carried out so much later, unanswered, 0s for no more
 		by, err := time.ParseDuration(args[0])
-		w.em.State.Late(by)
+		w.em.State.DelayTransactions(by)
 		return err
 	case "state-unheard": // state-unheard SHARE: so many transactions are carried out and their answers lost, 0 for no more
 		share, err := strconv.ParseFloat(args[0], 64)
-		w.em.State.Unheard(share)
+		w.em.State.DropAnswers(share)
 		return err
 	case "loses-answer": // loses-answer CONTROLLER PREFIX: its next change of such a record is carried out, and the answer lost
-		w.em.State.LoseNext(args[0], bookkeeping.Root+args[1])
+		w.em.State.DropNextAnswer(args[0], bookkeeping.Root+args[1])
 	case "late-commands": // late-commands SHARE: so many direct commands are held up for seconds, unanswered, 0 for no more
 		share, err := strconv.ParseFloat(args[0], 64)
-		w.em.HoldCommands(share)
+		w.em.DelayCommands(share)
 		return err
 	case "reports-kept": // reports-kept on|off: copies of reports are kept, and reach every controller at once when that ends
-		w.em.KeepReports(onOff(args))
+		w.em.ReplayReports(onOff(args))
 	case "state-refuses":
-		w.em.State.Refuse(args[0], onOff(args))
+		w.em.State.SetRefused(args[0], onOff(args))
 	case "renewals-refused": // renewals-refused CONTROLLER on|off: for the rate, while all else it asks is served
-		w.em.State.Starve(args[0], onOff(args))
+		w.em.State.RefuseRenewals(args[0], onOff(args))
 	case "older-records": // as a version left them that kept no rosters
 		return w.olderRecords()
 	case "older": // older CONTROLLER: its session is of the version before chains
@@ -395,13 +395,13 @@
 		return w.archive(args[0], args[1])
 	case "boots": // boots FACTOR: machines rented from now on boot so much slower; 0: at once
 		factor, err := strconv.ParseFloat(args[0], 64)
-		w.em.Boots(factor)
+		w.em.SetBootFactor(factor)
 		return err
 	case "cloud-outage":
-		w.em.CloudOutage(onOff(args))
+		w.em.SetCloudOutage(onOff(args))
 	case "capacity":
 		n, err := strconv.Atoi(args[0])
-		w.em.Capacity(n)
+		w.em.SetCapacity(n)
 		return err
 	case "cut-zone": // cut-zone ZONE CONTROLLER: the machines of a zone and this controller from all else; cut off ends it
 		w.cutZone(args[0], args[1])
@@ -409,7 +409,7 @@
 		w.cut(args)
 	case "rented": // rented N: no more machines than that so far
 		n, err := strconv.Atoi(args[0])
-		if made := w.em.Made(); made > n {
+		if made := w.em.MachinesRented(); made > n {
 			return fmt.Errorf("%d machines were rented", made)
 		}
 		return err
@@ -420,12 +420,12 @@
 		if err != nil {
 			return err
 		}
-		return w.strikeSome(count, emulator.Trouble(args[1]))
+		return w.strikeSome(count, emulator.MachineFault(args[1]))
 	case "machines-of": // machines-of CONTROLLER mutes|speaks|...: all machines with tasks whose slots are at home there
-		return w.strikeHome(args[0], emulator.Trouble(args[1]))
+		return w.strikeHome(args[0], emulator.MachineFault(args[1]))
 	case "echoes": // echoes TIME: copies of all reports come so much later, 0s for no more
 		by, err := time.ParseDuration(args[0])
-		w.em.Echo(by)
+		w.em.DuplicateReports(by)
 		return err
 	default:
 		return fmt.Errorf("unknown verb %s", verb)
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -47,8 +47,8 @@
 
 // slowest is the cancelled job whose tasks remained longest so far, if users were told of any.
 func (w *world) slowest() (c history.Cancellation, any bool) {
-	w.em.Rules(func(*history.Checker) {
-		if all := w.cancelled.At(w.em.Since()); len(all) > 0 {
+	w.em.WithChecker(func(*history.Checker) {
+		if all := w.cancelled.Snapshot(w.em.Elapsed()); len(all) > 0 {
 			c, any = all[0], true
 		}
 	})
@@ -70,7 +70,7 @@
 	var err error
 	w.em, err = emulator.New(ctx, w.net, emulator.Setup{Controllers: w.names, Capacity: 30, State: stateLimits,
 		Record: func(e history.Event) {
-			w.cancelled.Note(e)
+			w.cancelled.Observe(e)
 			if w.watch != nil {
 				w.watch(e)
 			}
@@ -86,8 +86,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.em.State.Pages(40) // small pages, so that paging is tested too
-	w.em.Fronts(fronts)
+	w.em.State.SetPageSize(40) // small pages, so that paging is tested too
+	w.em.SetControllerAddrs(fronts)
 	w.start(w.names...)
 	return w
 }
@@ -167,9 +167,9 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		for _, a := range c.Quotas.Accounts() {
-			if _, known := r.Limit(a.Name); !known && a.Limit.Cores > 0 {
+			if _, known := r.AccountLimit(a.Name); !known && a.Limit.Cores > 0 {
 				r.LimitAccount(a.Name, a.Limit.Cores)
 			}
 		}
@@ -186,7 +186,7 @@
 
 func (w *world) startOne(name string) {
 	c := w.settings(name)
-	kill, err := w.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
+	kill, err := w.net.StartController(name, func(ctx context.Context, front, inner net.Listener) {
 		NewController(ctx, c, w.net.Dialer(name)).Serve(ctx, front, inner, 100)
 	})
 	if err != nil {
@@ -203,7 +203,7 @@
 
 // end ends the world; the rules must have held in it.
 func (w *world) end() {
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		for _, v := range r.Violations() {
 			w.t.Error(v)
 		}
@@ -211,15 +211,15 @@
 	for _, stop := range w.nodes {
 		stop()
 	}
-	w.em.End()
-	w.net.Sever(func(string, string) bool { return true })
+	w.em.Close()
+	w.net.Partition(func(string, string) bool { return true })
 	w.cancel()
 	time.Sleep(30 * time.Second) // all goroutines notice and end
 }
 
 // told notes what a user was told, for the rules.
 func (w *world) told(kind history.Kind, job string, status int, answer string) {
-	w.em.Note(history.Event{Kind: kind, Job: job, Code: status, Status: answer})
+	w.em.RecordEvent(history.Event{Kind: kind, Job: job, Code: status, Status: answer})
 }
 
 // call makes one request over the in-memory network.
--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -14,16 +14,16 @@
 
 // The load balancer's times, as the protocol gives them.
 const (
-	probeEvery  = time.Second
-	probeWait   = time.Second
-	acceptWait  = 500 * time.Millisecond
-	skipFor     = 3 * time.Second
-	resetAfter  = 5 * time.Second
-	leastPause  = 3 * time.Second
-	mostPause   = time.Minute
-	pauseWithin = 2 * time.Minute
-	fullAfter   = 10 * time.Second
-	mostTries   = 3
+	probeInterval       = time.Second
+	probeTimeout        = time.Second
+	dialTimeout         = 500 * time.Millisecond
+	skipDuration        = 3 * time.Second
+	resetDelay          = 5 * time.Second
+	minPause            = 3 * time.Second
+	maxPause            = time.Minute
+	pauseDoublingWindow = 2 * time.Minute
+	slowStart           = 10 * time.Second
+	maxTries            = 3
 )
 
 // Balancer is the load balancer that users come through: it picks a healthy node for
@@ -88,7 +88,7 @@
 	client := &http.Client{Transport: &http.Transport{DialContext: b.dial, MaxConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	for {
-		status, _ := request(b.loop.ctx, client, http.MethodGet, "http://"+n.addr+"/healthz", nil, probeWait)
+		status, _ := request(b.loop.ctx, client, http.MethodGet, "http://"+n.addr+"/healthz", nil, probeTimeout)
 		var reset []*balanced
 		if !b.loop.do(func() { reset = n.judge(status == http.StatusOK, time.Now()) }) {
 			return
@@ -96,7 +96,7 @@
 		for _, c := range reset {
 			c.Close()
 		}
-		if !Pause(b.loop.ctx, probeEvery) {
+		if !Sleep(b.loop.ctx, probeInterval) {
 			return
 		}
 	}
@@ -121,16 +121,16 @@
 	switch {
 	case n.healthy && (last2(false) || bad >= 3):
 		n.healthy = false
-		if !n.removed.IsZero() && now.Sub(n.removed) < pauseWithin {
-			n.pause = min(2*n.pause, mostPause)
+		if !n.removed.IsZero() && now.Sub(n.removed) < pauseDoublingWindow {
+			n.pause = min(2*n.pause, maxPause)
 		} else {
-			n.pause = leastPause
+			n.pause = minPause
 		}
 		n.removed = now
 	case !n.healthy && !n.ever && ok, !n.healthy && n.ever && last2(true) && now.Sub(n.removed) >= n.pause:
 		n.healthy, n.ever, n.since, n.failed = true, true, now, 0
 		n.probes = nil
-	case !n.healthy && n.ever && now.Sub(n.removed) >= resetAfter:
+	case !n.healthy && n.ever && now.Sub(n.removed) >= resetDelay:
 		for c := range n.open {
 			reset = append(reset, c)
 		}
@@ -147,7 +147,7 @@
 		if !n.healthy || tried[n] || now.Before(n.skipped) {
 			continue
 		}
-		share := max(0.05, min(1, now.Sub(n.since).Seconds()/fullAfter.Seconds()))
+		share := max(0.05, min(1, now.Sub(n.since).Seconds()/slowStart.Seconds()))
 		l := float64(len(n.open)+1) / share
 		switch {
 		case best == nil || l < load:
@@ -166,14 +166,14 @@
 // Dial opens a connection to some healthy node, whatever address is asked for.
 func (b *Balancer) Dial(ctx context.Context, network, _ string) (net.Conn, error) {
 	tried := map[*backend]bool{}
-	for range mostTries {
+	for range maxTries {
 		var n *backend
 		b.loop.do(func() { n = b.pick(tried, time.Now()) })
 		if n == nil {
 			return nil, errNoNode
 		}
 		tried[n] = true
-		wait, cancel := context.WithTimeout(ctx, acceptWait)
+		wait, cancel := context.WithTimeout(ctx, dialTimeout)
 		raw, err := b.dial(wait, network, n.addr)
 		cancel()
 		c := &balanced{raw, b, n}
@@ -184,7 +184,7 @@
 				return
 			}
 			if n.failed++; n.failed >= 3 {
-				n.failed, n.skipped = 0, time.Now().Add(skipFor)
+				n.failed, n.skipped = 0, time.Now().Add(skipDuration)
 			}
 		}) && err == nil {
 			raw.Close()
--- a/internal/emulator/balancer_test.go
+++ b/internal/emulator/balancer_test.go
@@ -84,7 +84,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		if _, err := first.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-			t.Errorf("not reset after %v: %v", resetAfter, err)
+			t.Errorf("not reset after %v: %v", resetDelay, err)
 		}
 		set(name, true)
 		time.Sleep(2500 * time.Millisecond)
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -86,7 +86,7 @@
 		}
 	})
 	if late > 0 {
-		Pause(r.Context(), time.Minute)
+		Sleep(r.Context(), time.Minute)
 		panic(http.ErrAbortHandler)
 	}
 	w.cloudAnswer(rw, f)
@@ -118,7 +118,7 @@
 	}
 	var ids []string
 	left := w.capacity - w.live
-	if most, bound := w.set.Most[q.Type]; bound {
+	if most, bound := w.set.MaxByType[q.Type]; bound {
 		left = min(left, most-w.lives[q.Type])
 	}
 	for range min(q.Count, left) {
@@ -153,7 +153,7 @@
 	w.machines[id] = m
 	w.order = append(w.order, m)
 	w.charge(m, 1)
-	w.note(history.Event{Kind: history.Rented, Machine: id, Type: q.Type, Zone: q.Zone, Spot: q.Spot})
+	w.note(history.Event{Kind: history.MachineRented, Machine: id, Type: q.Type, Zone: q.Zone, Spot: q.Spot})
 	if !v.Boots || w.rng.Float64() >= v.NeverUp {
 		w.loop.after(protocol.Seconds(boot), m.comeUp)
 	}
--- a/internal/emulator/cut_test.go
+++ b/internal/emulator/cut_test.go
@@ -33,23 +33,23 @@
 		fronts := map[string]string{}
 		for _, name := range names {
 			fronts[name] = "front-" + name + ":1"
-			_, err := pipes.Host(name, func(ctx context.Context, front, _ net.Listener) {
+			_, err := pipes.StartController(name, func(ctx context.Context, front, _ net.Listener) {
 				http.Serve(front, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) }))
 			})
 			if err != nil {
 				t.Error(err)
 			}
 		}
-		w.Fronts(fronts)
-		pipes.Sever(func(from, _ string) bool { return w.ZoneOf(from) == "c" })
+		w.SetControllerAddrs(fronts)
+		pipes.Partition(func(from, _ string) bool { return w.ZoneOf(from) == "c" })
 		for n := range 3 {
 			w.loop.do(func() {
 				w.rent(protocol.RentRequest{Booking: fmt.Sprint("b-", n), Type: "small", Zone: "a", Count: 50})
 			})
 		}
 		time.Sleep(time.Minute)
-		pipes.Sever(func(string, string) bool { return true }) // nobody asks for zones while the world ends
-		w.End()
+		pipes.Partition(func(string, string) bool { return true }) // nobody asks for zones while the world ends
+		w.Close()
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -79,7 +79,7 @@
 	m.w.loop.do(func() {
 		m.addr = l.Addr().String()
 		m.watchLease()
-		m.w.note(history.Event{Kind: history.Up, Machine: m.id})
+		m.w.note(history.Event{Kind: history.WorkerUp, Machine: m.id})
 	})
 	go srv.Serve(l)
 	m.report()
--- a/internal/emulator/machine_commands.go
+++ b/internal/emulator/machine_commands.go
@@ -28,7 +28,7 @@
 			return
 		}
 		if lost { // it never arrives, and no answer comes
-			Pause(m.ctx, reportAnswer)
+			Sleep(m.ctx, reportAnswer)
 		}
 		if gone || lost || m.ctx.Err() != nil {
 			panic(http.ErrAbortHandler)
@@ -53,7 +53,7 @@
 		return
 	}
 	var rep protocol.Report
-	sent := m.w.Since() // the network takes no time
+	sent := m.w.Elapsed() // the network takes no time
 	held := false
 	if m.w.loop.do(func() {
 		if held = m.w.held > 0 && m.w.rng.Float64() < m.w.held; held {
@@ -65,7 +65,7 @@
 			})
 		}
 	}); held {
-		Pause(r.Context(), time.Minute)
+		Sleep(r.Context(), time.Minute)
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -20,7 +20,7 @@
 	at := time.Now().Add(m.w.lag())
 	m.unlisted = &at
 	delete(m.w.machines, m.id)
-	m.w.note(history.Event{Kind: history.Gone, Machine: m.id, Cause: why})
+	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: why})
 }
 
 // fail has the machine stop on its own: it stays listed until it is deleted.
@@ -32,7 +32,7 @@
 	m.w.charge(m, -1)
 	now := time.Now()
 	m.failed = &now
-	m.w.note(history.Event{Kind: history.Gone, Machine: m.id, Cause: "died"})
+	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: "died"})
 }
 
 func (m *machine) hang() {
--- a/internal/emulator/machine_reports.go
+++ b/internal/emulator/machine_reports.go
@@ -70,7 +70,7 @@
 		t := time.NewTimer(wait)
 		select {
 		case <-poked:
-			if !Pause(m.ctx, leastGap) {
+			if !Sleep(m.ctx, leastGap) {
 				return
 			}
 		case <-t.C:
@@ -110,7 +110,7 @@
 	deaf := false
 	if m.w.loop.do(func() { deaf = m.deaf }); deaf {
 		// The report came, its answer doesn't: it waits for it in vain.
-		if status != 0 && !Pause(m.ctx, reportAnswer-time.Since(sent)) {
+		if status != 0 && !Sleep(m.ctx, reportAnswer-time.Since(sent)) {
 			return nextNode
 		}
 		status = 0
@@ -131,7 +131,7 @@
 				m.say()
 			}
 			m.token, m.renewed = a.Token, sent
-			m.obey(a.Commands, m.w.Since())
+			m.obey(a.Commands, m.w.Elapsed())
 			return
 		case http.StatusMisdirectedRequest:
 			var red protocol.Redirect
--- a/internal/emulator/machine_test.go
+++ b/internal/emulator/machine_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Fronts(map[string]string{"c0": addr})
+	w.SetControllerAddrs(map[string]string{"c0": addr})
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
 		words := strings.Fields(lines.Text())
@@ -78,17 +78,17 @@
 		if err != nil || len(words) < 2 {
 			t.Fatalf("line %d: %q is no step", n, lines.Text())
 		}
-		time.Sleep(max(0, at-w.Since()))
+		time.Sleep(max(0, at-w.Elapsed()))
 		if err := s.step(words[1], words[2:]); err != nil {
 			t.Errorf("line %d: %s: %v", n, lines.Text(), err)
 		}
 	}
-	w.Rules(func(r *history.Checker) {
+	w.WithChecker(func(r *history.Checker) {
 		for _, v := range r.Violations() {
 			t.Error(v)
 		}
 	})
-	w.End()
+	w.Close()
 	cancel()
 	time.Sleep(time.Minute)
 }
@@ -149,7 +149,7 @@
 			spec.CheckpointS, _ = strconv.ParseFloat(args[6], 64)
 			spec.SaveS, _ = strconv.ParseFloat(args[7], 64)
 		}
-		s.Upload(spec, func(int) time.Duration { return run }, false)
+		s.RegisterJob(spec, func(int) time.Duration { return run }, false)
 		for _, e := range []error{err, err2, err3} {
 			if e != nil {
 				return e
@@ -163,7 +163,7 @@
 		}
 	case "cloud-late": // cloud-late TIME: rentals and returns are held up for so long
 		by, err := time.ParseDuration(args[0])
-		s.CloudLate(by)
+		s.DelayCloudRequests(by)
 		return err
 	case "rent-unanswered": // rent-unanswered BOOKING COUNT: its sender gives up after 3 s
 		n, _ := strconv.Atoi(args[1])
@@ -207,7 +207,7 @@
 		go func() { status, _ := s.command(args[0], args[1:], s.token); c <- status }()
 	case "hold-commands": // hold-commands SHARE
 		share, err := strconv.ParseFloat(args[0], 64)
-		s.HoldCommands(share)
+		s.DelayCommands(share)
 		return err
 	case "came":
 		select {
@@ -224,7 +224,7 @@
 	case "silence":
 		s.loop.do(func() { s.silent = args[0] == "on" })
 	case "machine": // machine MACHINE TROUBLE
-		return s.Strike(args[0], Trouble(args[1]))
+		return s.InjectFault(args[0], MachineFault(args[1]))
 	case "sees": // sees MACHINE TASK STATE [CAUSE [kept]]: its worker says so
 		_, raw := s.ask(http.MethodGet, "worker-"+args[0]+":1/inspect", nil)
 		return says(raw, args[1], strings.Join(args[2:], " "))
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -168,10 +168,10 @@
 	}
 }
 
-// Host runs a controller on the network: run is given the listeners of its doors,
+// StartController runs a controller on the network: run is given the listeners of its doors,
 // front-NAME and inner-NAME. kill ends run's context, closes the doors and breaks all its
 // connections, as the end of its process would.
-func (n *Pipes) Host(name string, run func(ctx context.Context, front, inner net.Listener)) (kill func(), err error) {
+func (n *Pipes) StartController(name string, run func(ctx context.Context, front, inner net.Listener)) (kill func(), err error) {
 	front, err1 := n.Listen("front-" + name)
 	inner, err2 := n.Listen("inner-" + name)
 	if err := errors.Join(err1, err2); err != nil {
@@ -183,19 +183,19 @@
 		front.Close()
 		inner.Close()
 		cancel()
-		n.Break(func(from, to string) bool { return from == name || strings.HasSuffix(to, "-"+name+":1") })
+		n.CloseConns(func(from, to string) bool { return from == name || strings.HasSuffix(to, "-"+name+":1") })
 	}, nil
 }
 
-// Sever sets which connections are cut, by the host that opens them and the address,
+// Partition sets which connections are cut, by the host that opens them and the address,
 // and breaks those that are open.
-func (n *Pipes) Sever(cut func(from, to string) bool) {
+func (n *Pipes) Partition(cut func(from, to string) bool) {
 	n.do(func() { n.cut = cut })
-	n.Break(cut)
+	n.CloseConns(cut)
 }
 
-// Break ends the open connections that are chosen.
-func (n *Pipes) Break(which func(from, to string) bool) {
+// CloseConns ends the open connections that are chosen.
+func (n *Pipes) CloseConns(which func(from, to string) bool) {
 	var broken []*pipeConn
 	n.do(func() {
 		for c := range n.conns {
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -85,12 +85,12 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(burstS*perSecond)))
 }
 
-// Limit sets the limits that hold from now on.
-func (s *State) Limit(l Limits) { s.loop.do(func() { s.limit(l) }) }
+// SetLimits sets the limits that hold from now on.
+func (s *State) SetLimits(l Limits) { s.loop.do(func() { s.limit(l) }) }
 
-// Outage takes the service away from all, or gives it back: then all leases get their
+// SetOutage takes the service away from all, or gives it back: then all leases get their
 // full time again.
-func (s *State) Outage(down bool) {
+func (s *State) SetOutage(down bool) {
 	s.loop.do(func() {
 		if s.down && !down {
 			s.store.renewAll(time.Now())
@@ -100,34 +100,36 @@
 	})
 }
 
-// Refuse has one controller get 503 while the others are served.
-func (s *State) Refuse(node string, refuse bool) {
+// SetRefused has one controller get 503 while the others are served.
+func (s *State) SetRefused(node string, refuse bool) {
 	s.loop.do(func() { s.refuses[node] = refuse; s.wake() })
 }
 
-// Starve has a controller's renewals of leases refused for the rate, while all else it asks is served.
-func (s *State) Starve(node string, starve bool) { s.loop.do(func() { s.starved[node] = starve }) }
+// RefuseRenewals has a controller's renewals of leases refused for the rate, while all else it asks is served.
+func (s *State) RefuseRenewals(node string, starve bool) {
+	s.loop.do(func() { s.starved[node] = starve })
+}
 
-// Lag has a controller's watches tell it of changes so much later.
-func (s *State) Lag(node string, by time.Duration) { s.loop.do(func() { s.lags[node] = by }) }
+// DelayWatches has a controller's watches tell it of changes so much later.
+func (s *State) DelayWatches(node string, by time.Duration) { s.loop.do(func() { s.lags[node] = by }) }
 
-// Slow has all answers take so long.
-func (s *State) Slow(by time.Duration) { s.loop.do(func() { s.slow = by }) }
+// DelayAnswers has all answers take so long.
+func (s *State) DelayAnswers(by time.Duration) { s.loop.do(func() { s.slow = by }) }
 
-// Late has transactions applied so much later, without an answer to their sender; 0
+// DelayTransactions has transactions applied so much later, without an answer to their sender; 0
 // ends it.
-func (s *State) Late(by time.Duration) { s.loop.do(func() { s.late = by }) }
+func (s *State) DelayTransactions(by time.Duration) { s.loop.do(func() { s.late = by }) }
 
-// Unheard has that share of transactions carried out at once, and their answers lost; 0 ends
+// DropAnswers has that share of transactions carried out at once, and their answers lost; 0 ends
 // it.
-func (s *State) Unheard(share float64) { s.loop.do(func() { s.unheard = share }) }
+func (s *State) DropAnswers(share float64) { s.loop.do(func() { s.unheard = share }) }
 
-// LoseNext has the next transaction of a controller that changes a key with the prefix carried out at
+// DropNextAnswer has the next transaction of a controller that changes a key with the prefix carried out at
 // once, and its answer lost.
-func (s *State) LoseNext(node, prefix string) { s.loop.do(func() { s.losesNext[node] = prefix }) }
+func (s *State) DropNextAnswer(node, prefix string) { s.loop.do(func() { s.losesNext[node] = prefix }) }
 
-// Pages bounds the keys on a page of a listing.
-func (s *State) Pages(most int) { s.loop.do(func() { s.page = most }) }
+// SetPageSize bounds the keys on a page of a listing.
+func (s *State) SetPageSize(most int) { s.loop.do(func() { s.page = most }) }
 
 // Counts are what the service was asked so far.
 func (s *State) Counts() (c StateCounts) {
--- a/internal/emulator/state_http.go
+++ b/internal/emulator/state_http.go
@@ -51,7 +51,7 @@
 			return
 		}
 	}
-	if delay > 0 && !Pause(r.Context(), delay) {
+	if delay > 0 && !Sleep(r.Context(), delay) {
 		return
 	}
 	answer(w, status, body)
@@ -111,7 +111,7 @@
 				}
 			})
 		})
-		Pause(r.Context(), time.Minute)
+		Sleep(r.Context(), time.Minute)
 		panic(http.ErrAbortHandler)
 	}
 	if unheard {
@@ -124,7 +124,7 @@
 		return s.transact(t)
 	})
 	if unheard {
-		Pause(r.Context(), time.Minute)
+		Sleep(r.Context(), time.Minute)
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -233,7 +233,7 @@
 					return
 				}
 			}
-			if lag <= 0 || Pause(r.Context(), lag) {
+			if lag <= 0 || Sleep(r.Context(), lag) {
 				answer(w, http.StatusOK, found)
 			}
 			return
@@ -266,8 +266,8 @@
 	return r
 }
 
-// Pause waits, unless the context ends first.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits, unless the context ends first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/emulator/state_test.go
+++ b/internal/emulator/state_test.go
@@ -112,22 +112,22 @@
 				time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 				switch rng.IntN(5) {
 				case 0:
-					w.State.Outage(true)
+					w.State.SetOutage(true)
 				case 1:
-					w.State.Refuse("c1", true)
+					w.State.SetRefused("c1", true)
 				case 2:
-					w.State.Late(time.Duration(500+rng.IntN(4000)) * time.Millisecond)
+					w.State.DelayTransactions(time.Duration(500+rng.IntN(4000)) * time.Millisecond)
 				case 3:
-					w.State.Unheard(0.6)
+					w.State.DropAnswers(0.6)
 				default:
-					w.State.Slow(time.Duration(rng.IntN(900)) * time.Millisecond)
+					w.State.DelayAnswers(time.Duration(rng.IntN(900)) * time.Millisecond)
 				}
 				time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
-				w.State.Outage(false)
-				w.State.Refuse("c1", false)
-				w.State.Late(0)
-				w.State.Unheard(0)
-				w.State.Slow(0)
+				w.State.SetOutage(false)
+				w.State.SetRefused("c1", false)
+				w.State.DelayTransactions(0)
+				w.State.DropAnswers(0)
+				w.State.DelayAnswers(0)
 			}
 			for range clients {
 				<-over
@@ -148,7 +148,7 @@
 			if !ok || err != nil || len(ops) < 20 {
 				t.Errorf("seed %d: %v, %v of %d requests, %d unanswered", seed, ok, err, len(ops), unanswered)
 			}
-			w.End()
+			w.Close()
 			cancel()
 			time.Sleep(time.Minute)
 		})
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -71,7 +71,7 @@
 // attempt that is here, if any, and sent is when the command was sent.
 func (m *machine) start(c protocol.Command, t *task, sent time.Duration) {
 	if t != nil && t.State != protocol.TaskExited {
-		m.w.note(history.Event{Kind: history.Told, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent, Cause: causeInUse})
+		m.w.note(history.Event{Kind: history.StartReceived, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent, Cause: causeInUse})
 		return // the report goes on telling of the attempt that is here
 	}
 	id, index, _ := protocol.SplitTask(c.Task)
@@ -82,7 +82,7 @@
 		t.State, t.Cause = protocol.TaskExited, causeUnknown
 		return
 	}
-	m.w.note(history.Event{Kind: history.Told, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent})
+	m.w.note(history.Event{Kind: history.StartReceived, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent})
 	if !m.free.Fits(k.spec.Need()) {
 		t.State, t.Cause = protocol.TaskExited, causeNoRoom
 		t.noteLeft()
@@ -109,7 +109,7 @@
 func (t *task) begin() {
 	t.on = true
 	t.m.w.running++
-	t.m.w.note(history.Event{Kind: history.On, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Type: t.m.kind.Type, Zone: t.m.kind.Zone, Spot: t.m.kind.Spot})
+	t.m.w.note(history.Event{Kind: history.TaskStarted, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Type: t.m.kind.Type, Zone: t.m.kind.Zone, Spot: t.m.kind.Spot})
 	switch p := t.work.progress(t.index); {
 	case t.m.faulty || t.work.mistake:
 		t.State = protocol.TaskRunning
@@ -181,7 +181,7 @@
 }
 
 func (t *task) noteLeft() {
-	t.m.w.note(history.Event{Kind: history.Left, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Cause: t.Cause})
+	t.m.w.note(history.Event{Kind: history.AttemptEnded, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Cause: t.Cause})
 }
 
 // leave ends a task on its machine, for a cause. Of a gang, the others notice.
@@ -207,7 +207,7 @@
 	if t.on {
 		t.on = false
 		t.m.w.running--
-		t.m.w.note(history.Event{Kind: history.Off, Task: t.Task, Machine: t.m.id, Cause: cause})
+		t.m.w.note(history.Event{Kind: history.TaskStopped, Task: t.Task, Machine: t.m.id, Cause: cause})
 	}
 	t.noteLeft()
 	if g := t.gang; g != nil {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -48,8 +48,8 @@
 	Teams []config.Team
 	// Capacity is how many machines there are at once, and Most how many of a type; a type
 	// that is not in it has no bound of its own.
-	Capacity int
-	Most     map[string]int
+	Capacity  int
+	MaxByType map[string]int
 	// CloudRPS bounds the cloud's requests a second, 0 not at all.
 	CloudRPS float64
 	State    Limits
@@ -165,11 +165,13 @@
 	return l.Addr().String(), nil
 }
 
-// Fronts tells the workers where the controllers' doors are.
-func (w *World) Fronts(addrs map[string]string) { w.loop.do(func() { maps.Copy(w.fronts, addrs) }) }
+// SetControllerAddrs tells the workers where the controllers' doors are.
+func (w *World) SetControllerAddrs(addrs map[string]string) {
+	w.loop.do(func() { maps.Copy(w.fronts, addrs) })
+}
 
-// End takes all machines away and closes all doors.
-func (w *World) End() {
+// Close takes all machines away and closes all doors.
+func (w *World) Close() {
 	var stops []func()
 	w.loop.do(func() {
 		for _, m := range w.order {
@@ -182,22 +184,22 @@
 	}
 }
 
-// Note notes what happened outside of the world, such as what a user was told.
-func (w *World) Note(e history.Event) { w.loop.do(func() { w.note(e) }) }
+// RecordEvent notes what happened outside of the world, such as what a user was told.
+func (w *World) RecordEvent(e history.Event) { w.loop.do(func() { w.note(e) }) }
 
 func (w *World) note(e history.Event) {
 	e.At = w.loop.since()
-	w.rules.Note(e)
+	w.rules.Observe(e)
 	if w.set.Record != nil {
 		w.set.Record(e)
 	}
 }
 
-// Rules has f look at what the rules know, or change limits of accounts.
-func (w *World) Rules(f func(*history.Checker)) { w.loop.do(func() { f(w.rules) }) }
+// WithChecker has f look at what the rules know, or change limits of accounts.
+func (w *World) WithChecker(f func(*history.Checker)) { w.loop.do(func() { f(w.rules) }) }
 
-// Since is the time from the world's beginning.
-func (w *World) Since() time.Duration { return w.loop.since() }
+// Elapsed is the time from the world's beginning.
+func (w *World) Elapsed() time.Duration { return w.loop.since() }
 
 // Sample is the state of the world now; it is noted, too.
 func (w *World) Sample() (s history.Sample) {
@@ -211,9 +213,9 @@
 	return s
 }
 
-// Upload tells the world of a job's image: how long its tasks run on a machine of
+// RegisterJob tells the world of a job's image: how long its tasks run on a machine of
 // nominal speed, and whether it was submitted with a mistake.
-func (w *World) Upload(spec *protocol.JobSpec, run func(task int) time.Duration, mistake bool) {
+func (w *World) RegisterJob(spec *protocol.JobSpec, run func(task int) time.Duration, mistake bool) {
 	w.loop.do(func() {
 		if w.works[spec.ID] == nil {
 			w.works[spec.ID] = &work{w: w, spec: spec, run: run, mistake: mistake, tasks: map[int]*progress{}, gangs: map[uint64]*gang{}}
@@ -222,32 +224,32 @@
 	})
 }
 
-// Capacity sets how many machines there can be at once.
-func (w *World) Capacity(n int) { w.loop.do(func() { w.capacity = n }) }
+// SetCapacity sets how many machines there can be at once.
+func (w *World) SetCapacity(n int) { w.loop.do(func() { w.capacity = n }) }
 
-// Boots sets a factor on the boot times of machines rented from now on; 0 has them up
+// SetBootFactor sets a factor on the boot times of machines rented from now on; 0 has them up
 // at once.
-func (w *World) Boots(factor float64) { w.loop.do(func() { w.boots = factor }) }
+func (w *World) SetBootFactor(factor float64) { w.loop.do(func() { w.boots = factor }) }
 
-// CloudOutage takes the cloud away, or gives it back.
-func (w *World) CloudOutage(down bool) { w.loop.do(func() { w.down = down }) }
+// SetCloudOutage takes the cloud away, or gives it back.
+func (w *World) SetCloudOutage(down bool) { w.loop.do(func() { w.down = down }) }
 
-// CloudLate has rentals and returns carried out so much later, without an answer to their
+// DelayCloudRequests has rentals and returns carried out so much later, without an answer to their
 // sender; 0 ends it.
-func (w *World) CloudLate(by time.Duration) { w.loop.do(func() { w.cloudLate = by }) }
+func (w *World) DelayCloudRequests(by time.Duration) { w.loop.do(func() { w.cloudLate = by }) }
 
-// Echo has a copy of every report come so much later, each at a controller drawn by chance,
+// DuplicateReports has a copy of every report come so much later, each at a controller drawn by chance,
 // whatever became of the machine meanwhile; 0 ends it, but for those under way.
-func (w *World) Echo(by time.Duration) { w.loop.do(func() { w.echo = by }) }
+func (w *World) DuplicateReports(by time.Duration) { w.loop.do(func() { w.echo = by }) }
 
-// HoldCommands has that share of direct commands held up on their way: unanswered, and carried
+// DelayCommands has that share of direct commands held up on their way: unanswered, and carried
 // out once, 2 to 16 s later, if token and session still match. 0 ends it, but for those under
 // way.
-func (w *World) HoldCommands(share float64) { w.loop.do(func() { w.held = share }) }
+func (w *World) DelayCommands(share float64) { w.loop.do(func() { w.held = share }) }
 
-// KeepReports has a copy kept of the next report of each machine; once it ends they reach every
+// ReplayReports has a copy kept of the next report of each machine; once it ends they reach every
 // controller at once.
-func (w *World) KeepReports(on bool) {
+func (w *World) ReplayReports(on bool) {
 	var all []protocol.Report
 	var to []string
 	w.loop.do(func() {
@@ -274,8 +276,8 @@
 	}()
 }
 
-// Made is how many machines were rented so far.
-func (w *World) Made() (n int) {
+// MachinesRented is how many machines were rented so far.
+func (w *World) MachinesRented() (n int) {
 	w.loop.do(func() { n = w.made })
 	return n
 }
--- a/internal/history/cancellations.go
+++ b/internal/history/cancellations.go
@@ -9,65 +9,66 @@
 	"daledyke/internal/protocol"
 )
 
-// Cancellation is what became of a cancelled job's tasks after the first answer that called it
-// cancelled.
+// Cancellation describes what happened to a cancelled job's tasks after the first answer that reported
+// the job as cancelled.
 type Cancellation struct {
 	Job string `json:"job"`
-	// Told is when that answer came.
-	Told time.Duration `json:"told"`
-	// Took is from then until the last of its tasks was off its machine, whether it was waiting,
-	// running or saving, or its machine hung or could not be reached; 0 if none was on one.
+	// AnsweredAt is the time of that answer.
+	AnsweredAt time.Duration `json:"told"`
+	// Took is the time from that answer until the job's last task left its machine, whether the task was
+	// waiting, running or saving, and also if its machine was frozen or unreachable; 0 if no task was on
+	// a machine.
 	Took time.Duration `json:"took"`
-	// Task was the last one, on Machine, and Cause is how it ended; "" while it is still there.
+	// Task is the last task to leave, on Machine, and Cause is how it ended; "" while it is still there.
 	Task    string `json:"task,omitempty"`
 	Machine string `json:"machine,omitempty"`
 	Cause   string `json:"cause,omitempty"`
-	// Remaining is how many tasks are still there.
+	// Remaining is the number of tasks that are still on machines.
 	Remaining int `json:"remaining,omitempty"`
-	// StartedAfter is how many commands to start its tasks were carried out after the answer,
-	// SentAfter how many of those had also been sent after it. LastStart is from the answer to
-	// the last of them.
+	// StartedAfter counts the start commands for the job's tasks that were carried out after the answer,
+	// SentAfter those of them that were also sent after it. LastStart is the time from the answer to the
+	// last of them.
 	StartedAfter int           `json:"startedAfter,omitempty"`
 	SentAfter    int           `json:"sentAfter,omitempty"`
 	LastStart    time.Duration `json:"lastStart,omitempty"`
 }
 
-// Lasted is the time from the answer until nothing of the job was or began anywhere.
-func (c *Cancellation) Lasted() time.Duration { return max(c.Took, c.LastStart) }
+// Duration is the time from the answer until the job's last task left its machine or was started.
+func (c *Cancellation) Duration() time.Duration { return max(c.Took, c.LastStart) }
 
-// Cancellations follows what becomes of cancelled jobs, from events that come in their order: how
-// much of the time that the rule RanCancelled allows was used, not only whether it was exceeded.
-// The zero value is ready.
+// Cancellations tracks cancelled jobs from events in order of time: it reports how much of the time
+// allowed by the rule RanCancelled was used, not only whether the limit was exceeded. The zero value is
+// ready for use.
 type Cancellations struct {
-	jobs map[string]*trackedJob
-	told []*trackedJob // in the order in which they were told
+	jobs  map[string]*trackedJob
+	order []*trackedJob // in the order of their AnsweredAt
 }
 
-// trackedJob is a job whose tasks are followed, cancelled or not.
+// trackedJob is a job whose tasks are tracked, cancelled or not.
 type trackedJob struct {
 	Cancellation
 	cancelled bool
-	on        map[string]string // machines by task
+	machineOf map[string]string // task -> machine
 }
 
-// Note takes the next event.
-func (c *Cancellations) Note(e Event) {
+// Observe processes the next event.
+func (c *Cancellations) Observe(e Event) {
 	switch e.Kind {
-	case Answered, Polled, CancelTold:
-		c.answer(e)
-	case Told, On, Off:
+	case Answered, Polled, CancelAnswered:
+		c.answered(e)
+	case StartReceived, TaskStarted, TaskStopped:
 		id, _, ok := protocol.SplitTask(e.Task)
 		if !ok {
 			return
 		}
 		j := c.job(id)
 		switch e.Kind {
-		case Told:
-			j.commanded(e)
-		case On:
-			j.on[e.Task] = e.Machine
+		case StartReceived:
+			j.startReceived(e)
+		case TaskStarted:
+			j.machineOf[e.Task] = e.Machine
 		default:
-			j.off(e)
+			j.taskStopped(e)
 		}
 	}
 }
@@ -75,7 +76,7 @@
 func (c *Cancellations) job(id string) *trackedJob {
 	j := c.jobs[id]
 	if j == nil {
-		j = &trackedJob{Cancellation: Cancellation{Job: id}, on: map[string]string{}}
+		j = &trackedJob{Cancellation: Cancellation{Job: id}, machineOf: map[string]string{}}
 		if c.jobs == nil {
 			c.jobs = map[string]*trackedJob{}
 		}
@@ -84,7 +85,7 @@
 	return j
 }
 
-func (c *Cancellations) answer(e Event) {
+func (c *Cancellations) answered(e Event) {
 	if e.Code != 200 && e.Code != 201 || e.Status != protocol.Cancelled {
 		return
 	}
@@ -92,49 +93,49 @@
 	if j.cancelled {
 		return
 	}
-	j.cancelled, j.Told = true, e.At
-	c.told = append(c.told, j)
+	j.cancelled, j.AnsweredAt = true, e.At
+	c.order = append(c.order, j)
 }
 
-// commanded notes that a worker carried out a command to start one of its tasks.
-func (j *trackedJob) commanded(e Event) {
+// startReceived records that a worker carried out a start command for one of the job's tasks.
+func (j *trackedJob) startReceived(e Event) {
 	if !j.cancelled {
 		return
 	}
 	j.StartedAfter++
-	j.LastStart = e.At - j.Told
-	if e.Sent > j.Told {
+	j.LastStart = e.At - j.AnsweredAt
+	if e.Sent > j.AnsweredAt {
 		j.SentAfter++
 	}
 }
 
-func (j *trackedJob) off(e Event) {
-	if j.on[e.Task] != e.Machine {
+func (j *trackedJob) taskStopped(e Event) {
+	if j.machineOf[e.Task] != e.Machine {
 		return
 	}
-	delete(j.on, e.Task)
+	delete(j.machineOf, e.Task)
 	if j.cancelled {
-		j.Took, j.Task, j.Machine, j.Cause = e.At-j.Told, e.Task, e.Machine, e.Cause
+		j.Took, j.Task, j.Machine, j.Cause = e.At-j.AnsweredAt, e.Task, e.Machine, e.Cause
 	}
 }
 
-// At is what became of all jobs that were called cancelled, as it is at a time, the slowest first.
-func (c *Cancellations) At(now time.Duration) []Cancellation {
-	all := make([]Cancellation, 0, len(c.told))
-	for _, j := range c.told {
-		all = append(all, j.at(now))
+// Snapshot returns the state of all cancelled jobs at the given time, the slowest first.
+func (c *Cancellations) Snapshot(now time.Duration) []Cancellation {
+	all := make([]Cancellation, 0, len(c.order))
+	for _, j := range c.order {
+		all = append(all, j.snapshot(now))
 	}
-	slices.SortStableFunc(all, func(a, b Cancellation) int { return cmp.Compare(b.Lasted(), a.Lasted()) })
+	slices.SortStableFunc(all, func(a, b Cancellation) int { return cmp.Compare(b.Duration(), a.Duration()) })
 	return all
 }
 
-func (j *trackedJob) at(now time.Duration) Cancellation {
-	is := j.Cancellation
-	if len(j.on) == 0 {
-		return is
+func (j *trackedJob) snapshot(now time.Duration) Cancellation {
+	result := j.Cancellation
+	if len(j.machineOf) == 0 {
+		return result
 	}
-	is.Took, is.Cause, is.Remaining = now-j.Told, "", len(j.on)
-	is.Task = slices.Min(slices.Collect(maps.Keys(j.on)))
-	is.Machine = j.on[is.Task]
-	return is
+	result.Took, result.Cause, result.Remaining = now-j.AnsweredAt, "", len(j.machineOf)
+	result.Task = slices.Min(slices.Collect(maps.Keys(j.machineOf)))
+	result.Machine = j.machineOf[result.Task]
+	return result
 }
--- a/internal/history/cancellations_test.go
+++ b/internal/history/cancellations_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// cancelledOnce is what must be said of the one cancelled job in each kept history: the time until
-// the last of its tasks was gone, the starts after the answer and how many were sent after it.
-var cancelledOnce = map[string]struct {
+// wantCancellations is the expected result for the one cancelled job in each recorded history.
+var wantCancellations = map[string]struct {
 	took, lastStart               time.Duration
 	started, sentAfter, remaining int
 	task, machine, cause          string
@@ -22,25 +21,25 @@
 	"started_unknowing": {took: 9 * time.Second, lastStart: 5 * time.Second, started: 2, sentAfter: 1, task: "wk-1/1", machine: "m2", cause: "halted"},
 }
 
-// TestCancellationsAreMeasured replays kept histories of one cancelled job each: the measure must
-// tell a job whose tasks were gone at once from one that lasted to just within the bound, and a
-// command that was held up on its way from one that was sent by who had not heard.
-func TestCancellationsAreMeasured(t *testing.T) {
-	for name, want := range cancelledOnce {
+// TestCancellations replays recorded histories of one cancelled job each. Cancellations must
+// distinguish a job whose tasks stopped at once from one that lasted almost to the limit, and a command that
+// was delayed in transit from one sent by an owner that did not know of the cancellation.
+func TestCancellations(t *testing.T) {
+	for name, want := range wantCancellations {
 		t.Run(name, func(t *testing.T) {
 			var c Cancellations
-			end := readKept(t, fmt.Sprintf("testdata/cancelled/%s.history", name), c.Note)
-			all := c.At(end)
+			end := replay(t, fmt.Sprintf("testdata/cancelled/%s.history", name), c.Observe)
+			all := c.Snapshot(end)
 			if len(all) != 1 {
-				t.Fatalf("%d cancelled jobs", len(all))
+				t.Fatalf("%d cancelled jobs, want 1", len(all))
 			}
 			got := all[0]
-			if got.Told != 5*time.Second || got.Took != want.took || got.LastStart != want.lastStart || got.Task != want.task || got.Machine != want.machine || got.Cause != want.cause ||
+			if got.AnsweredAt != 5*time.Second || got.Took != want.took || got.LastStart != want.lastStart || got.Task != want.task || got.Machine != want.machine || got.Cause != want.cause ||
 				got.StartedAfter != want.started || got.SentAfter != want.sentAfter || got.Remaining != want.remaining {
 				t.Errorf("%+v", got)
 			}
-			if got.Lasted() != max(want.took, want.lastStart) {
-				t.Errorf("lasted %v", got.Lasted())
+			if got.Duration() != max(want.took, want.lastStart) {
+				t.Errorf("duration %v", got.Duration())
 			}
 		})
 	}
--- a/internal/history/event.go
+++ b/internal/history/event.go
@@ -1,6 +1,5 @@
-// Package history holds what happened in a world around daledyke, event by event: how
-// it is kept in a file, and the checks over it, of the protocol's rules and of the
-// state service's consistency.
+// Package history records the events of an emulated deployment of daledyke, stores them in a file and
+// checks them against the protocol's rules and the state service's consistency.
 package history
 
 import (
@@ -9,34 +8,34 @@
 	"daledyke/internal/protocol"
 )
 
-// Kind says what happened in an event.
+// Kind is the type of an event.
 type Kind string
 
-// The kinds of events, and which fields of an Event they fill beside At.
+// The kinds of events, and the fields of Event that each fills besides At.
 const (
-	Submitted   Kind = "submitted"    // Job, Spec: a user sends a job for the first time
-	Answered    Kind = "answered"     // Job, Code, Status: an answer to a submission; Code 0 is none
-	Polled      Kind = "polled"       // Job, Code, Status: an answer to a question about a job
-	CancelAsked Kind = "cancel-asked" // Job
-	CancelTold  Kind = "cancel-told"  // Job, Code, Status
-	Told        Kind = "told"         // Task, Machine, Attempt, Sent: a worker takes a command to start
-	On          Kind = "on"           // Task, Machine, Attempt, Type, Zone, Spot: it has its image
-	Off         Kind = "off"          // Task, Machine, Cause: it is not on the machine any more
-	Left        Kind = "left"         // Task, Machine, Attempt, Cause: an attempt that was told to start has ended, in whatever state it was
-	Rented      Kind = "rented"       // Machine, Type, Zone, Spot
-	Up          Kind = "up"           // Machine: its worker begins to report
-	Gone        Kind = "gone"         // Machine, Cause
-	NodeUp      Kind = "node-up"      // Node: a controller was started
-	NodeDown    Kind = "node-down"    // Node: a controller was killed or ended
-	FaultBegins Kind = "fault"        // Cause: what, in the words of the experiment
-	FaultEnds   Kind = "fault-over"   // Cause
-	Sampled     Kind = "sample"       // Sample
-	Ended       Kind = "end"          // Code: how many events came before; always the last
+	Submitted      Kind = "submitted"    // Job, Spec: a user sends a job for the first time
+	Answered       Kind = "answered"     // Job, Code, Status: the answer to a submission; Code 0 means none
+	Polled         Kind = "polled"       // Job, Code, Status: the answer to a status query
+	CancelAsked    Kind = "cancel-asked" // Job
+	CancelAnswered Kind = "cancel-told"  // Job, Code, Status
+	StartReceived  Kind = "told"         // Task, Machine, Attempt, Sent: a worker receives a start command
+	TaskStarted    Kind = "on"           // Task, Machine, Attempt, Type, Zone, Spot: the task has its image
+	TaskStopped    Kind = "off"          // Task, Machine, Cause: the task is no longer on the machine
+	AttemptEnded   Kind = "left"         // Task, Machine, Attempt, Cause: an attempt that received a start command has ended, whatever its state
+	MachineRented  Kind = "rented"       // Machine, Type, Zone, Spot
+	WorkerUp       Kind = "up"           // Machine: its worker begins to report
+	MachineGone    Kind = "gone"         // Machine, Cause
+	NodeUp         Kind = "node-up"      // Node: a controller was started
+	NodeDown       Kind = "node-down"    // Node: a controller was killed or ended
+	FaultBegins    Kind = "fault"        // Cause: the fault, in the words of the experiment
+	FaultEnds      Kind = "fault-over"   // Cause
+	Sampled        Kind = "sample"       // Sample
+	Ended          Kind = "end"          // Code: the number of preceding events; always the last event
 )
 
-// Event is one thing that happened.
+// Event is one event of a history.
 type Event struct {
-	// At counts from the world's beginning, in nanoseconds.
+	// At is the time since the start of the history, in nanoseconds.
 	At      time.Duration `json:"at"`
 	Kind    Kind          `json:"kind"`
 	Job     string        `json:"job,omitempty"`
@@ -47,8 +46,7 @@
 	Zone    string        `json:"zone,omitempty"`
 	Spot    bool          `json:"spot,omitempty"`
 	Attempt uint64        `json:"attempt,omitempty"`
-	// Sent is when a command was sent that was carried out now, counted as At is; 0 if it is not
-	// known.
+	// Sent is the time, counted as At is, at which the command carried out now was sent; 0 if unknown.
 	Sent   time.Duration     `json:"sent,omitempty"`
 	Code   int               `json:"code,omitempty"`
 	Status string            `json:"status,omitempty"`
@@ -57,11 +55,11 @@
 	Sample *Sample           `json:"sample,omitempty"`
 }
 
-// Sample is the state of a world at one moment. Counts run from the beginning.
+// Sample is the state of a deployment at one time. Counters run from the start.
 type Sample struct {
 	Running       int     `json:"running"`  // tasks
-	Waiting       int     `json:"waiting"`  // jobs that were accepted and have no task on a machine
-	Machines      int     `json:"machines"` // that are charged
+	Waiting       int     `json:"waiting"`  // accepted jobs without a task on a machine
+	Machines      int     `json:"machines"` // machines that are charged
 	CoresUsed     float64 `json:"coresUsed"`
 	Cores         float64 `json:"cores"`
 	StateRequests int     `json:"stateRequests"`
--- a/internal/history/file.go
+++ b/internal/history/file.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Writer writes a history to a file: an event a line, as JSON, compressed. The file has
-// its name only once it is whole; until then it is called NAME.part.
+// Writer writes a history to a compressed file, one JSON event a line. The file is called NAME.part until
+// it is complete.
 type Writer struct {
 	name  string
 	file  *os.File
@@ -25,19 +25,19 @@
 
 const partSuffix = ".part"
 
-// Create begins a history.
+// Create opens a new history for writing.
 func Create(name string) (*Writer, error) {
 	f, err := os.Create(name + partSuffix)
 	if err != nil {
 		return nil, err
 	}
 	w := &Writer{name: name, file: f, buf: bufio.NewWriterSize(f, 1<<16)}
-	w.zip, _ = gzip.NewWriterLevel(w.buf, gzip.BestSpeed) // the level is sound
+	w.zip, _ = gzip.NewWriterLevel(w.buf, gzip.BestSpeed) // the level is valid
 	w.lines = json.NewEncoder(w.zip)
 	return w, nil
 }
 
-// Write adds an event. A fault is told by Close.
+// Write appends an event. Close returns any write error.
 func (w *Writer) Write(e Event) {
 	if w.err == nil {
 		w.err = w.lines.Encode(e)
@@ -45,8 +45,7 @@
 	}
 }
 
-// Close ends the history at a time and gives the file its name, unless something could
-// not be written.
+// Close writes the end event and renames the file to its final name, unless a write failed.
 func (w *Writer) Close(at time.Duration) error {
 	count := w.count
 	w.Write(Event{At: at, Kind: Ended, Code: count})
@@ -57,14 +56,14 @@
 	return os.Rename(w.name+partSuffix, w.name)
 }
 
-// Abandon gives a history up; what was written is removed.
-func (w *Writer) Abandon() {
+// Discard closes the history and removes its partial file.
+func (w *Writer) Discard() {
 	w.file.Close()
 	os.Remove(w.name + partSuffix)
 }
 
-// Read gives the events of a history to f, in their order. One that was cut short, or
-// holds what is no event, is an error with its line.
+// Read calls f for each event of a history in order. A truncated history and a malformed event are errors
+// that name the line.
 func Read(name string, f func(Event) error) error {
 	file, err := os.Open(name)
 	if err != nil {
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// maxLine bounds a line: a job's description has 64 KiB at most.
+// maxLine limits the length of a line: a job's description has at most 64 KiB.
 const maxLine = 256 << 10
 
 func read(r io.Reader, f func(Event) error) error {
@@ -94,17 +93,17 @@
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if e.At < last || e.Kind == "" {
-			return fmt.Errorf("line %d: no event, or earlier than the one before", n)
+			return fmt.Errorf("line %d: not an event, or earlier than the previous one", n)
 		}
 		last = e.At
 		if e.Kind == Ended {
 			if e.Code != n-1 {
-				return fmt.Errorf("line %d: %d events are said to come before", n, e.Code)
+				return fmt.Errorf("line %d: the end event counts %d events before it", n, e.Code)
 			}
 			if lines.Scan() {
-				return fmt.Errorf("line %d: it is after the end", n+1)
+				return fmt.Errorf("line %d: data after the end event", n+1)
 			}
-			return lines.Err() // the sum of the file is checked by it
+			return lines.Err() // the scanner has read the gzip checksum
 		}
 		if err := f(e); err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
@@ -113,5 +112,5 @@
 	if err := lines.Err(); err != nil {
 		return err
 	}
-	return errors.New("the history was cut short: it has no end")
+	return errors.New("truncated history: it has no end")
 }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -12,20 +12,19 @@
 	"daledyke/internal/protocol"
 )
 
-// TestBrokenRules replays kept histories, each of which breaks the rule that it is named
-// after, or the rules, in their order, with "+" between them; those named sound break none.
-// The checker must see every one, and nothing else.
-func TestBrokenRules(t *testing.T) {
+// TestRuleViolations replays recorded histories. The name of each lists the rules that it violates in order,
+// joined by "+"; those named sound violate none. The checker must report exactly these violations.
+func TestRuleViolations(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.history")
 	if err != nil || len(files) < 12 {
-		t.Fatal("histories are missing", err)
+		t.Fatal("recorded histories are missing", err)
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".history")
 		t.Run(name, func(t *testing.T) {
 			c := NewChecker(Deployment{Limits: map[string]protocol.Room{"bound": {Cores: 8}}, CancelWithin: 40 * time.Second})
 			c.LimitAccount("free/a", 4)
-			c.End(readKept(t, file, c.Note))
+			c.End(replay(t, file, c.Observe))
 			want, _, _ := strings.Cut(name, "-")
 			got := "sound"
 			for n, v := range c.Violations() {
@@ -36,21 +35,21 @@
 				}
 			}
 			if got != want {
-				t.Errorf("broken: %v", c.Violations())
+				t.Errorf("violations: %v", c.Violations())
 			}
 		})
 	}
 }
 
-// readKept has a kept history noted, event by event, and gives the time of its last.
-func readKept(t *testing.T, file string, note func(Event)) (last time.Duration) {
+// replay passes the events of a recorded history to observe and returns the time of the last one.
+func replay(t *testing.T, file string, observe func(Event)) (last time.Duration) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = read(bytes.NewReader(raw), func(e Event) error {
 		last = e.At
-		note(e)
+		observe(e)
 		return nil
 	})
 	if err != nil && !strings.Contains(err.Error(), "has no end") {
@@ -59,8 +58,8 @@
 	return last
 }
 
-// A history that was cut short at any byte is no result, nor is one with a gap.
-func TestHistoriesCutShort(t *testing.T) {
+// A history truncated at any byte, or with a missing line, is rejected.
+func TestTruncatedHistories(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "events.jsonl.gz")
 	w, err := Create(name)
 	if err != nil {
@@ -70,7 +69,7 @@
 		w.Write(Event{At: time.Duration(n), Kind: NodeUp, Node: "c0"})
 	}
 	if _, err := os.Stat(name); err == nil {
-		t.Error("the file has its name before it is whole")
+		t.Error("the file has its final name before it is complete")
 	}
 	if err := w.Close(time.Second); err != nil {
 		t.Fatal(err)
@@ -89,7 +88,7 @@
 			t.Fatal(err)
 		}
 		if Read(cut, func(Event) error { return nil }) == nil {
-			t.Errorf("cut after %d of %d bytes, and taken for whole", n, len(whole))
+			t.Errorf("truncated after %d of %d bytes, and accepted", n, len(whole))
 		}
 	}
 	zip, err := gzip.NewReader(bytes.NewReader(whole))
@@ -103,14 +102,14 @@
 	lines := strings.SplitAfter(plain.String(), "\n")
 	gap := strings.Join(append(lines[:7:7], lines[8:]...), "")
 	if err := read(strings.NewReader(gap), func(Event) error { return nil }); err == nil || !strings.Contains(err.Error(), "line 50") {
-		t.Errorf("a line is missing: %v", err)
+		t.Errorf("missing line: %v", err)
 	}
 	if err := read(strings.NewReader(lines[0]+"{\"at\":-1,\"kind\":\"up\"}\n"), func(Event) error { return nil }); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("back in time: %v", err)
+		t.Errorf("event earlier than the previous one: %v", err)
 	}
 }
 
-// Answers that no single store would give are seen.
+// Answers that no single store could give are detected.
 func TestLinearizable(t *testing.T) {
 	set := func(client int, call, end time.Duration, version uint64, value string, ok bool, revision uint64) StateOp {
 		return StateOp{Client: client, Call: call, Return: end, If: map[string]uint64{"k": version}, Set: map[string]string{"k": value}, OK: ok, Revision: revision}
@@ -122,15 +121,15 @@
 		ops  []StateOp
 		want bool
 	}{
-		"in turn":              {[]StateOp{set(1, 1, 2, 0, "a", true, 1), get(2, 3, 4, "a", 1)}, true},
-		"read while it is set": {[]StateOp{set(1, 1, 9, 0, "a", true, 1), get(2, 3, 4, "", 0), get(2, 5, 6, "a", 1)}, true},
-		"a stale reading":      {[]StateOp{set(1, 1, 2, 0, "a", true, 1), get(2, 3, 4, "", 0)}, false},
-		"back again":           {[]StateOp{set(1, 1, 9, 0, "a", true, 1), get(2, 3, 4, "a", 1), get(2, 5, 6, "", 0)}, false},
-		"both win":             {[]StateOp{set(1, 1, 3, 0, "a", true, 1), set(2, 1, 3, 0, "b", true, 2)}, false},
-		"unanswered, and done": {[]StateOp{set(1, 1, 0, 0, "a", false, 0), get(2, 8, 9, "a", 1)}, true},
-		"unanswered, and not":  {[]StateOp{set(1, 1, 0, 0, "a", false, 0), get(2, 8, 9, "", 0)}, true},
-		"a lost change":        {[]StateOp{set(1, 1, 2, 0, "a", true, 1), set(1, 3, 4, 1, "", true, 2), get(2, 5, 6, "a", 1)}, false},
-		"a revision twice":     {[]StateOp{set(1, 1, 2, 0, "a", true, 1), set(1, 3, 4, 1, "b", true, 1)}, false},
+		"sequential":                      {[]StateOp{set(1, 1, 2, 0, "a", true, 1), get(2, 3, 4, "a", 1)}, true},
+		"read during a write":             {[]StateOp{set(1, 1, 9, 0, "a", true, 1), get(2, 3, 4, "", 0), get(2, 5, 6, "a", 1)}, true},
+		"stale read":                      {[]StateOp{set(1, 1, 2, 0, "a", true, 1), get(2, 3, 4, "", 0)}, false},
+		"value reverts":                   {[]StateOp{set(1, 1, 9, 0, "a", true, 1), get(2, 3, 4, "a", 1), get(2, 5, 6, "", 0)}, false},
+		"conflicting writes both succeed": {[]StateOp{set(1, 1, 3, 0, "a", true, 1), set(2, 1, 3, 0, "b", true, 2)}, false},
+		"unanswered and applied":          {[]StateOp{set(1, 1, 0, 0, "a", false, 0), get(2, 8, 9, "a", 1)}, true},
+		"unanswered and not applied":      {[]StateOp{set(1, 1, 0, 0, "a", false, 0), get(2, 8, 9, "", 0)}, true},
+		"lost update":                     {[]StateOp{set(1, 1, 2, 0, "a", true, 1), set(1, 3, 4, 1, "", true, 2), get(2, 5, 6, "a", 1)}, false},
+		"same revision twice":             {[]StateOp{set(1, 1, 2, 0, "a", true, 1), set(1, 3, 4, 1, "b", true, 1)}, false},
 	} {
 		got, err := Linearizable(c.ops, 5*time.Second)
 		if err != nil || got != c.want {
--- a/internal/history/linear.go
+++ b/internal/history/linear.go
@@ -9,31 +9,31 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// StateOp is one request to the state service as its sender saw it: a transaction on a
-// few keys, or a reading of one. Return is zero if no answer came: it may have been
-// carried out at any time after Call, or never.
+// StateOp is one request to the state service as its client saw it: a transaction on a few keys, or a read
+// of one key. Return is zero if no answer came: the request may have been applied at any time after Call,
+// or never.
 type StateOp struct {
 	Client       int
 	Call, Return time.Duration
-	// If are the versions that a transaction demanded, Set the values that it sets ("" drops
-	// the key). A reading has neither, and Read names its key.
+	// If holds the versions that a transaction required, Set the values that it sets ("" drops the key). A
+	// read has neither; Read is its key.
 	If   map[string]uint64
 	Set  map[string]string
 	Read string
-	// OK: the conditions held, or the key that was read was there.
+	// OK reports whether the conditions held, or whether the key that was read existed.
 	OK bool
-	// Revision is that of the answer; of a reading, the key's version. Value is what was read.
+	// Revision is the revision of the answer, or the key's version for a read. Value is what was read.
 	Revision uint64
 	Value    string
 }
 
-// stateValue is what a key holds in the model.
+// stateValue is the value of a key in the model.
 type stateValue struct {
 	value   string
 	version uint64
 }
 
-// stateModel is the state service in a few lines.
+// stateModel is a sequential model of the state service.
 type stateModel struct {
 	keys     map[string]stateValue
 	revision uint64
@@ -42,17 +42,17 @@
 func (m stateModel) step(op StateOp) (stateModel, bool) {
 	answered := op.Return != 0
 	if op.Read != "" {
-		at, there := m.keys[op.Read]
-		return m, !answered || there == op.OK && (!there || at.version == op.Revision && at.value == op.Value)
+		at, exists := m.keys[op.Read]
+		return m, !answered || exists == op.OK && (!exists || at.version == op.Revision && at.value == op.Value)
 	}
-	held := true
+	holds := true
 	for key, version := range op.If {
-		held = held && m.keys[key].version == version
+		holds = holds && m.keys[key].version == version
 	}
-	if answered && held != op.OK {
+	if answered && holds != op.OK {
 		return m, false
 	}
-	if !held {
+	if !holds {
 		return m, true
 	}
 	if len(op.Set) == 0 {
@@ -70,12 +70,11 @@
 	return next, !answered || op.Revision == next.revision
 }
 
-// never is later than anything in a history.
+// never is later than any time in a history.
 const never = time.Duration(1) << 60
 
-// Linearizable tells whether the answers are those of one store that does one request
-// after the other, each at a moment between its call and its answer. It gives up after a
-// while, with an error.
+// Linearizable reports whether the answers match a single store that applies one request at a time, each
+// at some moment between its call and its return. It returns an error if the check exceeds the time limit.
 func Linearizable(ops []StateOp, within time.Duration) (bool, error) {
 	model := porcupine.Model{
 		Init: func() any { return stateModel{} },
@@ -92,7 +91,7 @@
 	var events []porcupine.Operation
 	for i, op := range ops {
 		end := op.Return
-		if end == 0 { // its sender never heard: it is another client from then on
+		if end == 0 { // no answer came: the operation stays open, as if of another client
 			end = never + time.Duration(i)
 		}
 		events = append(events, porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: int64(end)})
@@ -104,5 +103,5 @@
 	case porcupine.Illegal:
 		return false, nil
 	}
-	return false, fmt.Errorf("not decided within %v", within)
+	return false, fmt.Errorf("linearizability not decided within %v", within)
 }
--- a/internal/history/rules.go
+++ b/internal/history/rules.go
@@ -10,16 +10,15 @@
 	"daledyke/internal/protocol"
 )
 
-// Deployment is what the rules need to know of a world.
+// Deployment holds the settings of a deployment that the rules depend on.
 type Deployment struct {
-	// Limits are the most that a team's tasks may use at once, CPUs and GPUs; 0 is no
-	// limit.
+	// Limits are the most CPUs and GPUs that each team's tasks may use at once; 0 is unlimited.
 	Limits map[string]protocol.Room
-	// CancelWithin is how long after the answer tasks of a cancelled job may remain.
+	// CancelWithin limits how long tasks of a cancelled job may remain after the answer.
 	CancelWithin time.Duration
 }
 
-// Violation is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	At   time.Duration `json:"at"`
 	Rule string        `json:"rule"`
@@ -30,11 +29,11 @@
 	return fmt.Sprintf("%v: %s: %s", v.At.Round(time.Millisecond), v.Rule, v.What)
 }
 
-// The names of the rules, as the protocol has them ("Rules"); TooEarly is that of
-// chains, NestedQuota that of accounts within teams. InUse is a start of a task on a
-// machine where another attempt of it has not ended, StartedTwice one while another attempt
-// is on another machine in whatever state, also without its image: RanTwice sees only those
-// of which both attempts get as far as having it.
+// The names of the rules, as the protocol has them ("Rules"). TooEarly is the rule on dependencies between
+// jobs, NestedQuota the one on accounts within teams. InUse is violated when a task is started on a machine
+// where another attempt of it has not ended; StartedTwice when a task is started while another attempt is on
+// another machine in any state, even before it has its image. RanTwice covers only attempts that both have
+// their images.
 const (
 	RanTwice     = "ran_twice"
 	Quota        = "quota"
@@ -51,32 +50,31 @@
 	StartedTwice = "started_twice"
 )
 
-// unanswered is for how long all polls for a job may fail while most others are
-// answered, and unansweredCalm for how long once all troubles are over, however others
-// fare.
+// unanswered limits how long all polls for a job may fail while most others are answered;
+// unansweredNoFaults limits this time once all faults have ended, whatever happens to other polls.
 const (
-	unanswered     = 90 * time.Second
-	unansweredCalm = 75 * time.Second
+	unanswered         = 90 * time.Second
+	unansweredNoFaults = 75 * time.Second
 )
 
-// maxViolations bounds what is kept: the first ones tell what went wrong.
+// maxViolations limits the violations that are kept; the first ones show what went wrong.
 const maxViolations = 1000
 
-// job is what is known of one job.
+// job is what the checker knows about one job.
 type job struct {
-	spec      *protocol.JobSpec
-	accepted  bool
-	asked     bool // to be cancelled
-	cancelled time.Duration
-	told      string // the last state told that is final, or "" ("accepted" is a flag)
-	done      map[int]bool
-	on        map[int]place
-	attempts  map[int][]attempt // that were told to start and have not ended, by task
-	zones     map[string]int
-	starts    int
-	silent    time.Duration // since when no poll was answered, -1 if the last one was
-	polls     int           // answered to others when that began
-	failed    int           // failed for others when that began
+	spec            *protocol.JobSpec
+	accepted        bool
+	cancelAsked     bool // cancellation was requested
+	cancelled       time.Duration
+	finalStatus     string // the last final status that was answered, or "" ("accepted" is a flag)
+	done            map[int]bool
+	placed          map[int]place
+	attempts        map[int][]attempt // attempts that received a start command and have not ended, by task
+	zones           map[string]int
+	starts          int
+	unansweredSince time.Duration // time of the first unanswered poll, -1 if the last poll was answered
+	answeredBefore  int           // answered polls of all jobs at that time
+	failedBefore    int           // failed polls of all jobs at that time
 }
 
 // attempt is an attempt to run a task on a machine.
@@ -89,50 +87,50 @@
 	machine, zone string
 }
 
-// Checker finds broken rules in events that come in their order. The zero value is not
-// ready: use NewChecker. It is not safe for concurrent use.
+// Checker finds violations of the rules in events that come in order. Create it with NewChecker. It is not
+// safe for concurrent use.
 type Checker struct {
-	d        Deployment
-	jobs     map[string]*job
-	accounts map[string]float64 // limits of CPUs
-	use      map[string]protocol.Room
-	started  int
-	answered int // polls
-	failed   int
-	broken   []Violation
-	now      time.Duration
-	// troubles are the faults under way, calm is since when there are none: a fault lasts
-	// until it is over, a controller that went down until it is up again.
-	troubles map[string]int
-	calm     time.Duration
-	longest  time.Duration // without an answer about one job since then
+	deployment    Deployment
+	jobs          map[string]*job
+	cpuLimits     map[string]float64 // by account
+	usage         map[string]protocol.Room
+	startCommands int
+	answered      int // answered polls
+	failed        int
+	violations    []Violation
+	now           time.Duration
+	// activeFaults are counted by name; faultFreeSince is the time at which the last one ended. A fault is
+	// active until it ends, a stopped controller until it is up again.
+	activeFaults      map[string]int
+	faultFreeSince    time.Duration
+	longestUnanswered time.Duration // longest time without an answer about one job since then
 }
 
-// NewChecker makes a checker of the rules of a deployment.
+// NewChecker returns a checker of the rules for a deployment.
 func NewChecker(d Deployment) *Checker {
-	return &Checker{d: d, jobs: map[string]*job{}, accounts: map[string]float64{}, use: map[string]protocol.Room{}, troubles: map[string]int{}}
+	return &Checker{deployment: d, jobs: map[string]*job{}, cpuLimits: map[string]float64{}, usage: map[string]protocol.Room{}, activeFaults: map[string]int{}}
 }
 
-// LimitAccount sets the most CPUs that an account may use from now on, with what is
-// below it; a negative number is no limit.
+// LimitAccount sets the CPU limit of an account, including the accounts below it, from now on; a negative
+// number removes the limit.
 func (c *Checker) LimitAccount(account string, cpus float64) {
 	if cpus < 0 {
-		delete(c.accounts, account)
+		delete(c.cpuLimits, account)
 		return
 	}
-	c.accounts[account] = cpus
+	c.cpuLimits[account] = cpus
 }
 
-// Limit is the limit of an account, if there is one.
-func (c *Checker) Limit(account string) (cpus float64, ok bool) {
-	cpus, ok = c.accounts[account]
+// AccountLimit returns the CPU limit of an account, if there is one.
+func (c *Checker) AccountLimit(account string) (cpus float64, ok bool) {
+	cpus, ok = c.cpuLimits[account]
 	return cpus, ok
 }
 
-// Uses is what an account's tasks use, with what is below it; a team is an account.
-func (c *Checker) Uses(account string) protocol.Room { return c.use[account] }
+// Usage returns what the tasks of an account use, including the accounts below it; a team is an account.
+func (c *Checker) Usage(account string) protocol.Room { return c.usage[account] }
 
-// Starts is how often tasks of a job were told to start.
+// Starts returns how many start commands the tasks of a job have received.
 func (c *Checker) Starts(id string) int {
 	if j := c.jobs[id]; j != nil {
 		return j.starts
@@ -140,23 +138,23 @@
 	return 0
 }
 
-// Machines are the machines that tasks of a job are on, by task.
+// Machines returns the machines that tasks of a job are on, by task.
 func (c *Checker) Machines(id string) map[int]string {
 	on := map[int]string{}
 	if j := c.jobs[id]; j != nil {
-		for index, at := range j.on {
+		for index, at := range j.placed {
 			on[index] = at.machine
 		}
 	}
 	return on
 }
 
-// Running are the accepted jobs with tasks on machines that no user asked to cancel, by their ids
-// in order.
+// Running returns the sorted ids of accepted jobs that have tasks on machines and whose cancellation was
+// not requested.
 func (c *Checker) Running() []string {
 	var ids []string
 	for id, j := range c.jobs {
-		if j.accepted && !j.asked && len(j.on) > 0 {
+		if j.accepted && !j.cancelAsked && len(j.placed) > 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -164,148 +162,150 @@
 	return ids
 }
 
-// Waiting is how many jobs were accepted, have not ended and have no task on a machine.
+// Waiting returns the number of accepted jobs that have not ended and have no task on a machine.
 func (c *Checker) Waiting() (n int) {
 	for _, j := range c.jobs {
-		if j.accepted && !j.asked && len(j.on) == 0 && len(j.done) < j.spec.Tasks {
+		if j.accepted && !j.cancelAsked && len(j.placed) == 0 && len(j.done) < j.spec.Tasks {
 			n++
 		}
 	}
 	return n
 }
 
-// Violations are the rules broken so far, the first ones if there are very many.
-func (c *Checker) Violations() []Violation { return c.broken }
+// Violations returns the violations so far, at most the first maxViolations.
+func (c *Checker) Violations() []Violation { return c.violations }
 
-func (c *Checker) breaks(rule, format string, args ...any) {
-	if len(c.broken) < maxViolations {
-		c.broken = append(c.broken, Violation{c.now, rule, fmt.Sprintf(format, args...)})
+func (c *Checker) violate(rule, format string, args ...any) {
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, Violation{c.now, rule, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Note takes the next event.
-func (c *Checker) Note(e Event) {
+// Observe processes the next event.
+func (c *Checker) Observe(e Event) {
 	c.now = e.At
 	switch e.Kind {
 	case Submitted:
 		if c.jobs[e.Job] == nil && e.Spec != nil {
-			c.jobs[e.Job] = &job{spec: e.Spec, done: map[int]bool{}, on: map[int]place{}, attempts: map[int][]attempt{}, zones: map[string]int{}, silent: -1, cancelled: -1}
+			c.jobs[e.Job] = &job{spec: e.Spec, done: map[int]bool{}, placed: map[int]place{}, attempts: map[int][]attempt{}, zones: map[string]int{}, unansweredSince: -1, cancelled: -1}
 		}
 	case FaultBegins:
-		c.trouble(e.Cause, 1)
+		c.countFault(e.Cause, 1)
 	case FaultEnds:
-		c.trouble(e.Cause, -1)
+		c.countFault(e.Cause, -1)
 	case NodeDown:
-		c.trouble(e.Node, 1)
+		c.countFault(e.Node, 1)
 	case NodeUp:
-		c.trouble(e.Node, -1)
-	case Answered, Polled, CancelTold:
+		c.countFault(e.Node, -1)
+	case Answered, Polled, CancelAnswered:
 		c.answer(e)
 	case CancelAsked:
 		if j := c.jobs[e.Job]; j != nil {
-			j.asked = true
+			j.cancelAsked = true
 		}
-	case Told, On, Off, Left:
+	case StartReceived, TaskStarted, TaskStopped, AttemptEnded:
 		id, index, ok := protocol.SplitTask(e.Task)
 		j := c.jobs[id]
 		if !ok || j == nil {
-			c.breaks(Invented, "%s on %s: nobody submitted such a job", e.Task, e.Machine)
+			c.violate(Invented, "%s on %s: nobody submitted such a job", e.Task, e.Machine)
 			return
 		}
 		switch e.Kind {
-		case Told:
-			c.toldToStart(j, index, e)
-		case On:
-			c.on(j, index, e)
-		case Left:
-			j.ended(index, e.Machine)
+		case StartReceived:
+			c.startReceived(j, index, e)
+		case TaskStarted:
+			c.taskStarted(j, index, e)
+		case AttemptEnded:
+			j.attemptEnded(index, e.Machine)
 		default:
-			c.off(j, index, e)
+			c.taskStopped(j, index, e)
 		}
 	}
 }
 
-// trouble follows what is amiss.
-func (c *Checker) trouble(what string, by int) {
-	if c.troubles[what] += by; c.troubles[what] <= 0 {
-		delete(c.troubles, what)
+// countFault records that a fault begins (1) or ends (-1).
+func (c *Checker) countFault(fault string, change int) {
+	if c.activeFaults[fault] += change; c.activeFaults[fault] <= 0 {
+		delete(c.activeFaults, fault)
 	}
-	if len(c.troubles) == 0 {
-		c.calm, c.longest = c.now, 0
+	if len(c.activeFaults) == 0 {
+		c.faultFreeSince, c.longestUnanswered = c.now, 0
 	}
 }
 
-func (c *Checker) toldToStart(j *job, index int, e Event) {
+func (c *Checker) startReceived(j *job, index int, e Event) {
 	j.starts++
-	c.started++
+	c.startCommands++
 	if e.Cause == InUse {
-		c.breaks(InUse, "%s is told to start twice on %s", e.Task, e.Machine)
+		c.violate(InUse, "%s is told to start twice on %s", e.Task, e.Machine)
 	} else {
-		c.begins(j, index, e)
+		c.attemptBegins(j, index, e)
 	}
-	if c.late(j) {
-		c.breaks(RanCancelled, "%s started %v after its user was told", e.Task, e.At-j.cancelled)
+	if c.pastCancelLimit(j) {
+		c.violate(RanCancelled, "%s started %v after its user was told", e.Task, e.At-j.cancelled)
 	}
 	for _, id := range j.spec.Needs {
 		if n := c.jobs[id]; n != nil && len(n.done) < n.spec.Tasks {
-			c.breaks(TooEarly, "%s started before %s was completed", e.Task, id)
+			c.violate(TooEarly, "%s started before %s was completed", e.Task, id)
 		}
 	}
 }
 
-// begins takes in that an attempt begins on a machine: no other may be on another one.
-func (c *Checker) begins(j *job, index int, e Event) {
+// attemptBegins records that an attempt begins on a machine; no attempt may be active on another machine.
+func (c *Checker) attemptBegins(j *job, index int, e Event) {
 	for _, other := range j.attempts[index] {
 		if other.machine != e.Machine {
-			c.breaks(StartedTwice, "%s is on %s as attempt %d and starts on %s as attempt %d", e.Task, other.machine, other.number, e.Machine, e.Attempt)
+			c.violate(StartedTwice, "%s is on %s as attempt %d and starts on %s as attempt %d", e.Task, other.machine, other.number, e.Machine, e.Attempt)
 		}
 	}
-	j.ended(index, e.Machine)
+	j.attemptEnded(index, e.Machine)
 	j.attempts[index] = append(j.attempts[index], attempt{e.Machine, e.Attempt})
 }
 
-// ended takes in that a task's attempt on a machine has ended.
-func (j *job) ended(index int, machine string) {
+// attemptEnded records that a task's attempt on a machine has ended.
+func (j *job) attemptEnded(index int, machine string) {
 	j.attempts[index] = slices.DeleteFunc(j.attempts[index], func(a attempt) bool { return a.machine == machine })
 	if len(j.attempts[index]) == 0 {
 		delete(j.attempts, index)
 	}
 }
 
-func (c *Checker) late(j *job) bool { return j.cancelled >= 0 && c.now-j.cancelled > c.d.CancelWithin }
+func (c *Checker) pastCancelLimit(j *job) bool {
+	return j.cancelled >= 0 && c.now-j.cancelled > c.deployment.CancelWithin
+}
 
-func (c *Checker) on(j *job, index int, e Event) {
-	if other, ok := j.on[index]; ok {
+func (c *Checker) taskStarted(j *job, index int, e Event) {
+	if other, ok := j.placed[index]; ok {
 		if other.machine != e.Machine {
-			c.breaks(RanTwice, "%s is on %s and starts on %s", e.Task, other.machine, e.Machine)
+			c.violate(RanTwice, "%s is on %s and starts on %s", e.Task, other.machine, e.Machine)
 		}
-		c.leave(j, index)
+		c.removeTask(j, index)
 	}
-	if c.late(j) {
-		c.breaks(RanCancelled, "%s starts %v after its user was told", e.Task, e.At-j.cancelled)
+	if c.pastCancelLimit(j) {
+		c.violate(RanCancelled, "%s starts %v after its user was told", e.Task, e.At-j.cancelled)
 	}
-	j.on[index] = place{e.Machine, e.Zone}
+	j.placed[index] = place{e.Machine, e.Zone}
 	j.zones[e.Zone]++
 	if !j.spec.Allows(e.Type, e.Zone, e.Spot) {
-		c.breaks(WrongPlace, "%s on a %s in %s, spot %v", e.Task, e.Type, e.Zone, e.Spot)
+		c.violate(WrongPlace, "%s on a %s in %s, spot %v", e.Task, e.Type, e.Zone, e.Spot)
 	}
 	if j.spec.OneZone && len(j.zones) > 1 || j.zones[e.Zone] > j.spec.ZoneShare() {
-		c.breaks(WrongPlace, "%s: tasks by zone are %v", e.Task, j.zones)
+		c.violate(WrongPlace, "%s: tasks by zone are %v", e.Task, j.zones)
 	}
 	c.charge(j.spec, 1)
 	const slack = 1e-6
-	use := c.use[j.spec.Team]
-	if most := c.d.Limits[j.spec.Team]; most.Cores > 0 && use.Cores > most.Cores+slack || most.Accels > 0 && use.Accels > most.Accels+slack {
-		c.breaks(Quota, "%s uses %v CPUs and %v GPUs with %s", j.spec.Team, use.Cores, use.Accels, e.Task)
+	used := c.usage[j.spec.Team]
+	if limit := c.deployment.Limits[j.spec.Team]; limit.Cores > 0 && used.Cores > limit.Cores+slack || limit.Accels > 0 && used.Accels > limit.Accels+slack {
+		c.violate(Quota, "%s uses %v CPUs and %v GPUs with %s", j.spec.Team, used.Cores, used.Accels, e.Task)
 	}
 	for _, a := range accountsOf(j.spec) {
-		if most, ok := c.accounts[a]; ok && c.use[a].Cores > most+slack {
-			c.breaks(NestedQuota, "%v CPUs of %v are in use in %s", c.use[a].Cores, most, a)
+		if limit, ok := c.cpuLimits[a]; ok && c.usage[a].Cores > limit+slack {
+			c.violate(NestedQuota, "%v CPUs of %v are in use in %s", c.usage[a].Cores, limit, a)
 		}
 	}
 }
 
-// accountsOf are a job's account and those above it, its team the last.
+// accountsOf returns a job's account and the accounts above it, its team last.
 func accountsOf(s *protocol.JobSpec) []string {
 	all := []string{}
 	for a := cmp.Or(s.Account, s.Team); ; {
@@ -321,25 +321,25 @@
 func (c *Checker) charge(s *protocol.JobSpec, sign float64) {
 	n := s.Need().Scale(sign)
 	for _, a := range accountsOf(s) {
-		c.use[a] = c.use[a].Add(n)
+		c.usage[a] = c.usage[a].Add(n)
 	}
 }
 
-func (c *Checker) leave(j *job, index int) {
-	at := j.on[index]
-	delete(j.on, index)
+func (c *Checker) removeTask(j *job, index int) {
+	at := j.placed[index]
+	delete(j.placed, index)
 	if j.zones[at.zone]--; j.zones[at.zone] == 0 {
 		delete(j.zones, at.zone)
 	}
 	c.charge(j.spec, -1)
 }
 
-func (c *Checker) off(j *job, index int, e Event) {
-	j.ended(index, e.Machine)
-	if at, ok := j.on[index]; ok && at.machine == e.Machine {
-		c.leave(j, index)
-		if c.late(j) {
-			c.breaks(RanCancelled, "%s was still on %s %v after its user was told", e.Task, e.Machine, e.At-j.cancelled)
+func (c *Checker) taskStopped(j *job, index int, e Event) {
+	j.attemptEnded(index, e.Machine)
+	if at, ok := j.placed[index]; ok && at.machine == e.Machine {
+		c.removeTask(j, index)
+		if c.pastCancelLimit(j) {
+			c.violate(RanCancelled, "%s was still on %s %v after its user was told", e.Task, e.Machine, e.At-j.cancelled)
 		}
 	}
 	if e.Cause == protocol.CauseDone {
@@ -347,15 +347,15 @@
 	}
 }
 
-// End judges what only the end tells, at the time given.
+// End applies the rules that can be checked only at the end of a history, at the given time.
 func (c *Checker) End(at time.Duration) {
 	c.now = at
-	if c.started == 0 && len(c.jobs) > 0 {
-		c.breaks(NothingRan, "no task was started for %d jobs", len(c.jobs))
+	if c.startCommands == 0 && len(c.jobs) > 0 {
+		c.violate(NothingRan, "no task was started for %d jobs", len(c.jobs))
 	}
 	for id, j := range c.jobs {
-		if len(j.on) > 0 && c.late(j) {
-			c.breaks(RanCancelled, "%s was cancelled %v ago and has %d tasks on machines", id, at-j.cancelled, len(j.on))
+		if len(j.placed) > 0 && c.pastCancelLimit(j) {
+			c.violate(RanCancelled, "%s was cancelled %v ago and has %d tasks on machines", id, at-j.cancelled, len(j.placed))
 		}
 	}
 }
--- a/internal/history/rules_answers.go
+++ b/internal/history/rules_answers.go
@@ -6,19 +6,19 @@
 	"daledyke/internal/protocol"
 )
 
-// The rules on what users are told.
+// Rules on the answers that users receive.
 
-// Unanswered is the longest time for which questions about one accepted job went
-// unanswered since the last trouble was over.
-func (c *Checker) Unanswered() time.Duration { return c.longest }
+// LongestUnanswered is the longest time without an answer to polls for one accepted job since the last
+// fault ended.
+func (c *Checker) LongestUnanswered() time.Duration { return c.longestUnanswered }
 
-// answer judges what a user is told.
+// answer checks an answer that a user received.
 func (c *Checker) answer(e Event) {
 	j := c.jobs[e.Job]
 	ok := e.Code == 200 || e.Code == 201
 	if j == nil {
 		if ok {
-			c.breaks(Invented, "%s, which nobody submitted, is called %s", e.Job, e.Status)
+			c.violate(Invented, "%s, which nobody submitted, is called %s", e.Job, e.Status)
 		}
 		return
 	}
@@ -29,69 +29,69 @@
 	case ok && e.Kind == Answered:
 		j.accepted = true
 	case e.Kind == Answered && j.accepted && (e.Code == 400 || e.Code == 422):
-		c.breaks(Forgotten, "%s was accepted, and a repeated submission is answered %d", e.Job, e.Code)
+		c.violate(Forgotten, "%s was accepted, and a repeated submission is answered %d", e.Job, e.Code)
 	case e.Kind != Answered && j.accepted && e.Code == 404:
-		c.breaks(Forgotten, "%s was accepted, and is not known any more", e.Job)
+		c.violate(Forgotten, "%s was accepted, and is not known any more", e.Job)
 	}
 	if !ok {
 		return
 	}
-	if j.told != "" && e.Status != j.told {
-		c.breaks(WentBack, "%s was called %s, and is called %s", e.Job, j.told, e.Status)
+	if j.finalStatus != "" && e.Status != j.finalStatus {
+		c.violate(WentBack, "%s was called %s, and is called %s", e.Job, j.finalStatus, e.Status)
 		return
 	}
 	switch e.Status {
 	case protocol.Done:
-		if len(j.done) < j.spec.Tasks && j.told == "" {
-			c.breaks(NotDone, "%s is called done with %d of %d tasks", e.Job, len(j.done), j.spec.Tasks)
+		if len(j.done) < j.spec.Tasks && j.finalStatus == "" {
+			c.violate(NotDone, "%s is called done with %d of %d tasks", e.Job, len(j.done), j.spec.Tasks)
 		}
-		j.told = protocol.Done
+		j.finalStatus = protocol.Done
 	case protocol.Cancelled:
-		if !c.mayBeCancelled(j, map[*job]bool{}) {
-			c.breaks(WentBack, "%s is called cancelled, and its user did not cancel it", e.Job)
+		if !c.cancelledByUser(j, map[*job]bool{}) {
+			c.violate(WentBack, "%s is called cancelled, and its user did not cancel it", e.Job)
 		}
-		if j.told == "" {
+		if j.finalStatus == "" {
 			j.cancelled = e.At
 		}
-		j.told = protocol.Cancelled
+		j.finalStatus = protocol.Cancelled
 	}
 }
 
-// mayBeCancelled: a job is cancelled by its user, or with one that it needs. seen are those
-// that were looked at.
-func (c *Checker) mayBeCancelled(j *job, seen map[*job]bool) bool {
-	if j.asked || seen[j] {
-		return j.asked
+// cancelledByUser reports whether the user cancelled the job or a job that it depends on. seen holds the jobs
+// already visited.
+func (c *Checker) cancelledByUser(j *job, seen map[*job]bool) bool {
+	if j.cancelAsked || seen[j] {
+		return j.cancelAsked
 	}
 	seen[j] = true
 	for _, id := range j.spec.Needs {
-		if n := c.jobs[id]; n != nil && c.mayBeCancelled(n, seen) {
+		if n := c.jobs[id]; n != nil && c.cancelledByUser(n, seen) {
 			return true
 		}
 	}
 	return false
 }
 
-// polled follows for how long a job's polls fail.
+// polled tracks how long polls for a job fail.
 func (c *Checker) polled(j *job, e Event) {
-	if j.accepted && j.silent >= 0 && len(c.troubles) == 0 {
-		c.longest = max(c.longest, e.At-max(j.silent, c.calm))
+	if j.accepted && j.unansweredSince >= 0 && len(c.activeFaults) == 0 {
+		c.longestUnanswered = max(c.longestUnanswered, e.At-max(j.unansweredSince, c.faultFreeSince))
 	}
 	if e.Code == 200 || e.Code == 404 {
 		c.answered++
-		j.silent = -1
+		j.unansweredSince = -1
 		return
 	}
 	c.failed++
 	switch {
 	case !j.accepted:
-	case j.silent < 0:
-		j.silent, j.polls, j.failed = e.At, c.answered, c.failed
-	case e.At-j.silent > unanswered && c.answered-j.polls > c.failed-j.failed:
-		c.breaks(Forgotten, "no poll for %s is answered for %v, while most others are", e.Job, e.At-j.silent)
-		j.silent = e.At // once in so long
-	case !j.asked && len(c.troubles) == 0 && e.At-max(j.silent, c.calm) > unansweredCalm:
-		c.breaks(Forgotten, "no poll for %s is answered for %v, and nothing is amiss", e.Job, e.At-max(j.silent, c.calm))
-		j.silent = e.At
+	case j.unansweredSince < 0:
+		j.unansweredSince, j.answeredBefore, j.failedBefore = e.At, c.answered, c.failed
+	case e.At-j.unansweredSince > unanswered && c.answered-j.answeredBefore > c.failed-j.failedBefore:
+		c.violate(Forgotten, "no poll for %s is answered for %v, while most others are", e.Job, e.At-j.unansweredSince)
+		j.unansweredSince = e.At // report again only after the same interval
+	case !j.cancelAsked && len(c.activeFaults) == 0 && e.At-max(j.unansweredSince, c.faultFreeSince) > unansweredNoFaults:
+		c.violate(Forgotten, "no poll for %s is answered for %v, and nothing is amiss", e.Job, e.At-max(j.unansweredSince, c.faultFreeSince))
+		j.unansweredSince = e.At
 	}
 }
--- a/internal/history/served.go
+++ b/internal/history/served.go
@@ -10,82 +10,79 @@
 	"daledyke/internal/protocol"
 )
 
-// Unserved is the name of the rule that a day fails on which less than a stated share of any
-// one class of jobs, of any one team's work or of a class's largest jobs is served, or on
-// which less than that of a class's largest jobs begin within BeginWithin.
+// Unserved is the name of the rule that an experiment violates if less than a stated share is served of a
+// class of jobs, of a team's work or of a class's largest jobs, or if less than that share of a class's
+// largest jobs begin within BeginWithin.
 const Unserved = "unserved"
 
-// BeginWithin is within what time of its submission one of a class's largest jobs has to
-// begin.
+// BeginWithin is the time from submission within which one of a class's largest jobs has to begin.
 const BeginWithin = 4 * time.Minute
 
-// servedAfter is from how long after its submission on a service's replica counts as
-// wanted, and how old any other job must be at the end to count: machines have to boot and
-// images to be fetched before anybody can be served.
+// servedAfter is the delay from submission after which a service's replicas count as wanted, and the least
+// age at the end of any other job that counts: machines have to boot and images to be fetched before any
+// job can be served.
 const servedAfter = time.Minute
 
-// Served sums up how much of each class's and each team's work is served, from events that
-// come in their order. Of services the share of replica time counts, of other jobs the
-// smaller of two shares: of the tasks that were started and of the jobs that were done. Jobs
-// that were cancelled or refused for good do not count, but for the time that a service was
-// wanted.
+// Served computes the share of each class's and each team's work that is served, from events that come in
+// order. For services it is the share of replica time; for other jobs the smaller of two shares: of tasks
+// that were started and of jobs that were done. Jobs that were cancelled or permanently refused do not
+// count, except for the time that a service was wanted.
 //
-// A class's largest jobs are a tenth of it, at least one: those with the most tasks times
-// what each takes. Of the resources that a task takes the one counts that is most, as a part
-// of what any task of the class takes of it. The zero value is ready.
+// A class's largest jobs are its top tenth, at least one job, by number of tasks times task size. A task's
+// size is its largest share, over all resources, of the most that any task of the class requires. The zero
+// value is ready for use.
 type Served struct {
-	// Limits are the most that a team's tasks may use at once, CPUs and GPUs; 0 is no
-	// limit.
+	// Limits are the most CPUs and GPUs that each team's tasks may use at once; 0 is unlimited.
 	Limits map[string]protocol.Room
 	jobs   map[string]*servedJob
 }
 
 type servedJob struct {
-	spec  *protocol.JobSpec
-	since time.Duration
-	until time.Duration // when nobody wants it any more, -1 while somebody does
-	on    map[int]time.Duration
-	begun map[int]bool
-	// began is when as many of its tasks had begun as may run at once, of a gang or service
-	// when all ran at once; -1 if that has not happened.
-	began time.Duration
-	need  int // how many these are
-	done  map[int]bool
-	ran   time.Duration // replica time from when it counts on
-	void  bool          // refused for good
+	spec         *protocol.JobSpec
+	submittedAt  time.Duration
+	wantedUntil  time.Duration // end of the time in which the job is wanted, -1 while it has not ended
+	runningSince map[int]time.Duration
+	begun        map[int]bool
+	// began is when as many of the job's tasks had begun as may run at once, or when all tasks of a gang or
+	// service ran at once; -1 before that.
+	began       time.Duration
+	needed      int // number of tasks that began requires
+	done        map[int]bool
+	replicaTime time.Duration // replica time that counts
+	refused     bool          // permanently refused
 }
 
-// Note takes the next event.
-func (s *Served) Note(e Event) {
+// Observe processes the next event.
+func (s *Served) Observe(e Event) {
 	switch e.Kind {
 	case Submitted:
 		if s.jobs == nil {
 			s.jobs = map[string]*servedJob{}
 		}
 		if s.jobs[e.Job] == nil && e.Spec != nil {
-			s.jobs[e.Job] = &servedJob{spec: e.Spec, since: e.At, until: -1, began: -1, need: s.atOnce(e.Spec), on: map[int]time.Duration{}, begun: map[int]bool{}, done: map[int]bool{}}
+			s.jobs[e.Job] = &servedJob{spec: e.Spec, submittedAt: e.At, wantedUntil: -1, began: -1, needed: s.tasksToBegin(e.Spec), runningSince: map[int]time.Duration{}, begun: map[int]bool{}, done: map[int]bool{}}
 		}
 	case Answered:
 		if j := s.jobs[e.Job]; j != nil && (e.Code == 400 || e.Code == 422) {
-			j.void = true
+			j.refused = true
 		}
 	case CancelAsked:
-		if j := s.jobs[e.Job]; j != nil && j.until < 0 {
-			j.until = e.At
+		if j := s.jobs[e.Job]; j != nil && j.wantedUntil < 0 {
+			j.wantedUntil = e.At
 		}
-	case On, Off:
+	case TaskStarted, TaskStopped:
 		id, index, _ := protocol.SplitTask(e.Task)
 		j := s.jobs[id]
 		if j == nil {
 			return
 		}
-		if since, was := j.on[index]; was {
-			j.ran += j.counts(since, e.At)
-			delete(j.on, index)
+		if since, was := j.runningSince[index]; was {
+			j.replicaTime += j.wantedTime(since, e.At)
+			delete(j.runningSince, index)
 		}
-		if e.Kind == On {
-			j.on[index], j.begun[index] = e.At, true
-			if n := len(j.on); j.began < 0 && (n >= j.need || j.spec.Shape == protocol.Array && len(j.begun) >= j.need) {
+		if e.Kind == TaskStarted {
+			j.runningSince[index], j.begun[index] = e.At, true
+			if n := len(j.runningSince); j.began < 0 && (n >= j.needed || j.spec.Shape == protocol.Array && len(j.begun) >= j.needed) {
 				j.began = e.At
 			}
 		} else if e.Cause == protocol.CauseDone {
@@ -94,9 +91,9 @@
 	}
 }
 
-// atOnce is how many of a job's tasks have to begin for it to have begun: of an array as many
-// as its team's limit allows at once, of others all.
-func (s *Served) atOnce(spec *protocol.JobSpec) int {
+// tasksToBegin returns how many of a job's tasks have to begin for the job to have begun: all, or for an
+// array as many as its team's limit allows at once.
+func (s *Served) tasksToBegin(spec *protocol.JobSpec) int {
 	if spec.Shape != protocol.Array {
 		return spec.Tasks
 	}
@@ -111,39 +108,39 @@
 	return max(1, int(n))
 }
 
-// counts is how much of a span lies within the time that a service's replicas are wanted.
-func (j *servedJob) counts(from, to time.Duration) time.Duration {
-	if j.until >= 0 {
-		to = min(to, j.until)
+// wantedTime returns the part of an interval in which a service's replicas are wanted.
+func (j *servedJob) wantedTime(from, to time.Duration) time.Duration {
+	if j.wantedUntil >= 0 {
+		to = min(to, j.wantedUntil)
 	}
-	return max(0, to-max(from, j.since+servedAfter))
+	return max(0, to-max(from, j.submittedAt+servedAfter))
 }
 
-// tally is what a class or a team wanted and got.
+// tally sums up what a class or a team wanted and was served.
 type tally struct {
 	replicas, ran  time.Duration
 	tasks, started int
 	jobs, done     int
-	// of those that had the time for it, how many began in time
+	// Jobs that had time to begin, and those that began within BeginWithin.
 	due, began int
 }
 
 func (t *tally) add(j *servedJob, at time.Duration) {
-	if gone := j.until >= 0 && j.until < j.since+BeginWithin; j.began >= 0 && j.began-j.since <= BeginWithin {
+	if cancelledEarly := j.wantedUntil >= 0 && j.wantedUntil < j.submittedAt+BeginWithin; j.began >= 0 && j.began-j.submittedAt <= BeginWithin {
 		t.due++
 		t.began++
-	} else if !gone && at-j.since > BeginWithin {
+	} else if !cancelledEarly && at-j.submittedAt > BeginWithin {
 		t.due++
 	}
 	if j.spec.Shape == protocol.Service {
-		t.replicas += j.counts(j.since, at) * time.Duration(j.spec.Tasks)
-		t.ran += j.ran
-		for _, since := range j.on {
-			t.ran += j.counts(since, at)
+		t.replicas += j.wantedTime(j.submittedAt, at) * time.Duration(j.spec.Tasks)
+		t.ran += j.replicaTime
+		for _, since := range j.runningSince {
+			t.ran += j.wantedTime(since, at)
 		}
 		return
 	}
-	if j.until >= 0 || at-j.since < servedAfter {
+	if j.wantedUntil >= 0 || at-j.submittedAt < servedAfter {
 		return
 	}
 	t.tasks += j.spec.Tasks
@@ -154,37 +151,37 @@
 	}
 }
 
-func (t *tally) share() float64 {
-	least := 1.0
+func (t *tally) servedShare() float64 {
+	smallest := 1.0
 	if t.replicas > 0 {
-		least = min(least, t.ran.Seconds()/t.replicas.Seconds())
+		smallest = min(smallest, t.ran.Seconds()/t.replicas.Seconds())
 	}
 	if t.tasks > 0 {
-		least = min(least, float64(t.started)/float64(t.tasks), float64(t.done)/float64(t.jobs))
+		smallest = min(smallest, float64(t.started)/float64(t.tasks), float64(t.done)/float64(t.jobs))
 	}
-	return least
+	return smallest
 }
 
-func (t *tally) inTime() float64 {
+func (t *tally) begunShare() float64 {
 	if t.due == 0 {
 		return 1
 	}
 	return float64(t.began) / float64(t.due)
 }
 
-// Shares are parts of one, by name.
+// Shares holds shares between 0 and 1, by name.
 type Shares struct {
-	// Classes and Teams are the shares of their work that were served, Largest that of each
-	// class's largest jobs, and Begun how many of these began in time.
+	// Classes and Teams are the served shares of their work, Largest the served share of each class's largest
+	// jobs, and Begun the share of these jobs that began within BeginWithin.
 	Classes, Teams, Largest, Begun map[string]float64
 }
 
-// Shares are what was served by the time given.
+// Shares returns the shares that were served by the given time.
 func (s *Served) Shares(at time.Duration) Shares {
 	byClass, byTeam, largest := map[string]*tally{}, map[string]*tally{}, map[string]*tally{}
 	large := s.largest()
 	for id, j := range s.jobs {
-		if j.void {
+		if j.refused {
 			continue
 		}
 		add := func(to map[string]*tally, name string) {
@@ -199,33 +196,33 @@
 			add(largest, j.spec.Class)
 		}
 	}
-	shares := func(all map[string]*tally, of func(*tally) float64) map[string]float64 {
+	shares := func(all map[string]*tally, share func(*tally) float64) map[string]float64 {
 		out := map[string]float64{}
 		for name, t := range all {
-			out[name] = of(t)
+			out[name] = share(t)
 		}
 		return out
 	}
-	return Shares{Classes: shares(byClass, (*tally).share), Teams: shares(byTeam, (*tally).share),
-		Largest: shares(largest, (*tally).share), Begun: shares(largest, (*tally).inTime)}
+	return Shares{Classes: shares(byClass, (*tally).servedShare), Teams: shares(byTeam, (*tally).servedShare),
+		Largest: shares(largest, (*tally).servedShare), Begun: shares(largest, (*tally).begunShare)}
 }
 
-// largest are the largest jobs of all classes.
+// largest returns the ids of the largest jobs of all classes.
 func (s *Served) largest() map[string]bool {
-	most := map[string]protocol.Room{}
+	largestNeed := map[string]protocol.Room{}
 	byClass := map[string][]string{}
 	for id, j := range s.jobs {
-		if j.void {
+		if j.refused {
 			continue
 		}
-		class, need, m := j.spec.Class, j.spec.Need(), most[j.spec.Class]
-		most[class] = protocol.Room{Cores: max(m.Cores, need.Cores), Accels: max(m.Accels, need.Accels), RAM: max(m.RAM, need.RAM)}
+		class, need, m := j.spec.Class, j.spec.Need(), largestNeed[j.spec.Class]
+		largestNeed[class] = protocol.Room{Cores: max(m.Cores, need.Cores), Accels: max(m.Accels, need.Accels), RAM: max(m.RAM, need.RAM)}
 		byClass[class] = append(byClass[class], id)
 	}
 	out := map[string]bool{}
 	for class, ids := range byClass {
 		size := func(id string) float64 {
-			return float64(s.jobs[id].spec.Tasks) * s.jobs[id].spec.Need().Share(most[class])
+			return float64(s.jobs[id].spec.Tasks) * s.jobs[id].spec.Need().Share(largestNeed[class])
 		}
 		slices.SortFunc(ids, func(a, b string) int { return cmp.Or(cmp.Compare(size(b), size(a)), strings.Compare(a, b)) })
 		for _, id := range ids[:(len(ids)+9)/10] {
@@ -235,7 +232,7 @@
 	return out
 }
 
-// Lowest is the name with the smallest share, "" if there is none.
+// Lowest returns the name with the smallest share, "" if there is none.
 func Lowest(shares map[string]float64) (name string, share float64) {
 	share = 1
 	for n, s := range shares {
--- a/internal/lab/cancelled.go
+++ b/internal/lab/cancelled.go
@@ -38,15 +38,15 @@
 		c := &all[k]
 		s.StartedAfter += c.StartedAfter
 		s.SentAfter += c.SentAfter
-		if c.Lasted() > 0 {
-			record(took, c.Lasted())
+		if c.Duration() > 0 {
+			record(took, c.Duration())
 		}
-		if k < worstCancelled && c.Lasted() > 0 {
+		if k < worstCancelled && c.Duration() > 0 {
 			s.Worst = append(s.Worst, *c)
 		}
 	}
 	if len(all) > 0 && within > 0 {
-		s.WorstShare = float64(all[0].Lasted()) / float64(within)
+		s.WorstShare = float64(all[0].Duration()) / float64(within)
 	}
 	raw, err := took.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	s.Took = raw
@@ -55,7 +55,7 @@
 
 // describe tells one slow cancellation in a line.
 func describe(c *history.Cancellation, within time.Duration) string {
-	line := fmt.Sprintf("%s, told at %v, lasted %v of %v", c.Job, c.Told.Round(time.Millisecond), c.Lasted().Round(time.Millisecond), within)
+	line := fmt.Sprintf("%s, told at %v, lasted %v of %v", c.Job, c.AnsweredAt.Round(time.Millisecond), c.Duration().Round(time.Millisecond), within)
 	if c.Task != "" {
 		line += fmt.Sprintf("; last was %s on %s", c.Task, c.Machine)
 		if c.Cause != "" {
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -79,7 +79,7 @@
 // Setup is the world around the deployment's controllers. A world that varies strays
 // from its nominal values as far as the protocol lets it.
 func (d *Deployment) Setup(seed uint64, varies bool) emulator.Setup {
-	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, Most: d.Most, CloudRPS: d.CloudRPS, State: d.State,
+	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, MaxByType: d.Most, CloudRPS: d.CloudRPS, State: d.State,
 		ReportEvery: d.ReportEvery, Lease: d.Lease, GangWait: d.GangWait, GangPeer: d.GangPeer, CancelWithin: d.CancelWithin, Seed: seed}
 	if varies {
 		s.Variation = emulator.Variation{Boots: true, NeverUp: 0.01, Speeds: true, Reports: true, Prices: true, ListLag: d.ListLag}
--- a/internal/lab/door.go
+++ b/internal/lab/door.go
@@ -48,7 +48,7 @@
 	}
 	known := map[string]bool{}
 	for _, s := range specs {
-		w.Upload(s, estimated(s), false)
+		w.RegisterJob(s, estimated(s), false)
 		known[s.ID] = true
 	}
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY, 0o600)
@@ -160,7 +160,7 @@
 				http.Error(w, `{"error":"the description is not kept"}`, http.StatusServiceUnavailable)
 				return
 			}
-			d.world.Upload(s, estimated(s), false)
+			d.world.RegisterJob(s, estimated(s), false)
 		}
 	}
 	d.proxy.ServeHTTP(w, r)
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -38,11 +38,11 @@
 	"cancel-now":    "N [FOR]",         // users cancel N jobs that run; up to eight of their machines hang FOR
 }
 
-var troubles = map[string]emulator.Trouble{"die": emulator.Dies, "hang": emulator.Hangs, "sicken": emulator.Sickens, "slow": emulator.Slows,
-	"leave": emulator.Leaves, "taken": emulator.Taken, "deafen": emulator.Deafens, "hold": emulator.Holds, "mute": emulator.Mutes, "reboot": emulator.Reboots}
+var troubles = map[string]emulator.MachineFault{"die": emulator.Crash, "hang": emulator.Hang, "sicken": emulator.FailTasks, "slow": emulator.SlowDown,
+	"leave": emulator.ReclaimWithNotice, "taken": emulator.Reclaim, "deafen": emulator.DropInbound, "hold": emulator.HoldInbound, "mute": emulator.BlockOutbound, "reboot": emulator.Reboot}
 
 // ends are what ends a trouble that lasts.
-var ends = map[string]emulator.Trouble{"hang": emulator.Resumes, "deafen": emulator.Hears, "hold": emulator.Hears, "mute": emulator.Speaks}
+var ends = map[string]emulator.MachineFault{"hang": emulator.Resume, "deafen": emulator.RestoreInbound, "hold": emulator.RestoreInbound, "mute": emulator.RestoreOutbound}
 
 // check tells what is senseless about a fault.
 func (f Fault) check(e *Experiment, d *Deployment) error {
@@ -126,7 +126,7 @@
 // from now on, none unless hang is set.
 func (b *breaker) cancelNow(n int, hang bool, after func(time.Duration, func())) (hung []string) {
 	var jobs, machines []string
-	b.world.Rules(func(r *history.Checker) {
+	b.world.WithChecker(func(r *history.Checker) {
 		jobs = r.Running()
 		b.draw.Shuffle(len(jobs), func(i, k int) { jobs[i], jobs[k] = jobs[k], jobs[i] })
 		jobs = jobs[:min(n, len(jobs))]
@@ -142,7 +142,7 @@
 	}
 	b.draw.Shuffle(len(machines), func(i, k int) { machines[i], machines[k] = machines[k], machines[i] })
 	for _, id := range machines {
-		if len(hung) < mostHung && !slices.Contains(hung, id) && b.world.Strike(id, emulator.Hangs) == nil {
+		if len(hung) < mostHung && !slices.Contains(hung, id) && b.world.InjectFault(id, emulator.Hang) == nil {
 			hung = append(hung, id)
 		}
 	}
@@ -188,7 +188,7 @@
 	for _, c := range b.cuts {
 		all = append(all, c)
 	}
-	b.net.Sever(func(from, to string) bool {
+	b.net.Partition(func(from, to string) bool {
 		return slices.ContainsFunc(all, func(c func(from, to string) bool) bool { return c(from, to) })
 	})
 }
--- a/internal/lab/faults_begin.go
+++ b/internal/lab/faults_begin.go
@@ -67,19 +67,19 @@
 	state := r.world.State
 	switch verb := r.fault.Verb; verb {
 	case "state-outage":
-		r.during(verb, state.Outage)
+		r.during(verb, state.SetOutage)
 	case "state-refuses":
 		node := r.fault.Args[1]
-		r.during(verb+node, func(yes bool) { state.Refuse(node, yes) })
+		r.during(verb+node, func(yes bool) { state.SetRefused(node, yes) })
 	case "state-slow":
-		r.during(verb, func(yes bool) { state.Slow(on(yes, r.duration(1))) })
+		r.during(verb, func(yes bool) { state.DelayAnswers(on(yes, r.duration(1))) })
 	case "state-late":
-		r.during(verb, func(yes bool) { state.Late(on(yes, r.duration(1))) })
+		r.during(verb, func(yes bool) { state.DelayTransactions(on(yes, r.duration(1))) })
 	case "state-unheard":
-		r.during(verb, func(yes bool) { state.Unheard(on(yes, r.number(1))) })
+		r.during(verb, func(yes bool) { state.DropAnswers(on(yes, r.number(1))) })
 	case "state-lags":
 		node := r.fault.Args[1]
-		r.during(verb+node, func(yes bool) { state.Lag(node, on(yes, r.duration(2))) })
+		r.during(verb+node, func(yes bool) { state.DelayWatches(node, on(yes, r.duration(2))) })
 	case "state-writes":
 		r.during(verb, r.limitWrites)
 	default:
@@ -94,22 +94,22 @@
 	if yes {
 		limits.WriteRPS = max(1, limits.WriteRPS*r.number(1))
 	}
-	r.world.State.Limit(limits)
+	r.world.State.SetLimits(limits)
 }
 
 func (r *faultRun) cloud() bool {
 	switch verb := r.fault.Verb; verb {
 	case "cloud-outage":
-		r.during(verb, r.world.CloudOutage)
+		r.during(verb, r.world.SetCloudOutage)
 	case "cloud-late":
-		r.during(verb, func(yes bool) { r.world.CloudLate(on(yes, r.duration(1))) })
+		r.during(verb, func(yes bool) { r.world.DelayCloudRequests(on(yes, r.duration(1))) })
 	case "capacity":
 		r.during(verb, func(yes bool) {
 			share := 1.0
 			if yes {
 				share = r.number(1)
 			}
-			r.world.Capacity(int(float64(r.d.Machines) * share))
+			r.world.SetCapacity(int(float64(r.d.Machines) * share))
 		})
 	case "boots":
 		r.during(verb, func(yes bool) {
@@ -117,7 +117,7 @@
 			if yes {
 				factor = r.number(1)
 			}
-			r.world.Boots(factor)
+			r.world.SetBootFactor(factor)
 		})
 	default:
 		return false
@@ -153,11 +153,11 @@
 	name := r.fault.String()
 	switch verb := r.fault.Verb; verb {
 	case "late-commands":
-		r.during(verb, func(yes bool) { r.world.HoldCommands(on(yes, r.number(1))) })
+		r.during(verb, func(yes bool) { r.world.DelayCommands(on(yes, r.number(1))) })
 	case "kept-reports":
-		r.during(verb, r.world.KeepReports)
+		r.during(verb, r.world.ReplayReports)
 	case "echoes":
-		r.during(verb, func(yes bool) { r.world.Echo(on(yes, r.duration(1))) })
+		r.during(verb, func(yes bool) { r.world.DuplicateReports(on(yes, r.duration(1))) })
 	case "cut":
 		r.during(name, func(yes bool) { r.cut(name, yes, cutNode(r.fault.Args[1], r.fault.Args[2])) })
 	case "cut-zone":
@@ -174,7 +174,7 @@
 	case "machines":
 		trouble := r.fault.Args[0]
 		count, _ := strconv.Atoi(r.fault.Args[1])
-		struck := r.world.StrikeSome(count, troubles[trouble], func(string, bool) bool { return true })
+		struck := r.world.InjectFaults(count, troubles[trouble], func(string, bool) bool { return true })
 		if len(r.fault.Args) < 3 || ends[trouble] == "" {
 			r.over()
 			break
@@ -189,10 +189,10 @@
 }
 
 // endsAfter ends a trouble of machines, those that are not gone meanwhile, and the fault with it.
-func (r *faultRun) endsAfter(lasts time.Duration, ids []string, end emulator.Trouble) {
+func (r *faultRun) endsAfter(lasts time.Duration, ids []string, end emulator.MachineFault) {
 	r.after(lasts, func() {
 		for _, id := range ids {
-			r.world.Strike(id, end)
+			r.world.InjectFault(id, end)
 		}
 		r.over()
 	})
@@ -201,13 +201,13 @@
 // spotWave has a share of the spot machines leave at once.
 func (r *faultRun) spotWave() {
 	spot := 0
-	r.world.StrikeSome(1<<20, "", func(_ string, isSpot bool) bool {
+	r.world.InjectFaults(1<<20, "", func(_ string, isSpot bool) bool {
 		if isSpot {
 			spot++
 		}
 		return false
 	})
-	r.world.StrikeSome(int(r.number(0)*float64(spot)+0.5), emulator.Leaves, func(_ string, isSpot bool) bool { return isSpot })
+	r.world.InjectFaults(int(r.number(0)*float64(spot)+0.5), emulator.ReclaimWithNotice, func(_ string, isSpot bool) bool { return isSpot })
 	r.over()
 }
 
@@ -222,6 +222,6 @@
 		r.over()
 		return true
 	}
-	r.endsAfter(r.duration(1), hung, emulator.Resumes)
+	r.endsAfter(r.duration(1), hung, emulator.Resume)
 	return true
 }
--- a/internal/lab/hosts.go
+++ b/internal/lab/hosts.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	h.ends[name], err = h.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
+	h.ends[name], err = h.net.StartController(name, func(ctx context.Context, front, inner net.Listener) {
 		coordination.NewController(ctx, c, h.net.Dialer(name)).Serve(ctx, front, inner, c.Connections())
 	})
 	return err
@@ -248,7 +248,7 @@
 	if err != nil {
 		return up, err
 	}
-	up.World.Fronts(up.Addresses.Front)
+	up.World.SetControllerAddrs(up.Addresses.Front)
 	up.hosts = &processes{program: o.Program, files: up.Files, own: o.Settings, logs: o.Dir, running: map[string]*process{}, ended: o.Ended}
 	for _, name := range d.Controllers {
 		if err = up.hosts.start(name); err != nil {
@@ -292,7 +292,7 @@
 		up.hosts.stop()
 	}
 	if up.World != nil {
-		up.World.End()
+		up.World.Close()
 	}
 	up.cancel()
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -86,7 +86,7 @@
 		m := NewMeter(nil, 45*time.Second)
 		kinds := map[history.Kind]int{}
 		err := history.Read(filepath.Join(dir, "runs", s.Run, eventsFile), func(e history.Event) error {
-			c.Note(e)
+			c.Observe(e)
 			m.Note(e)
 			kinds[e.Kind]++
 			return nil
@@ -436,7 +436,7 @@
 		}
 		c := s.Cancelled
 		lease := e.deployment().Lease
-		if c.Jobs != 4 || len(c.Worst) != 4 || c.Worst[0].Cause != "killed" || c.Worst[0].Took < lease/2 || c.Worst[0].Took > lease || c.WorstShare != float64(c.Worst[0].Lasted())/float64(c.Within) || c.StartedAfter != 0 {
+		if c.Jobs != 4 || len(c.Worst) != 4 || c.Worst[0].Cause != "killed" || c.Worst[0].Took < lease/2 || c.Worst[0].Took > lease || c.WorstShare != float64(c.Worst[0].Duration())/float64(c.Within) || c.StartedAfter != 0 {
 			t.Errorf("%+v", c)
 		}
 	})
@@ -489,7 +489,7 @@
 			switch ev.Kind {
 			case history.NodeUp, history.NodeDown:
 				nodes = append(nodes, fmt.Sprint(ev.At.Round(time.Second), ev.Kind))
-			case history.Rented:
+			case history.MachineRented:
 				if ended == 0 {
 					ended = ev.At
 				}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -211,9 +211,9 @@
 		if ctx.Err() != nil {
 			return 0, ""
 		}
-		u.world.Note(history.Event{Kind: kind, Job: u.spec.ID, Code: code, Status: status})
-		if code >= 200 && code < 300 || code == 400 || code == 422 || code == 404 && kind == history.CancelTold ||
-			time.Since(began)+again > retryFor || !emulator.Pause(ctx, again) {
+		u.world.RecordEvent(history.Event{Kind: kind, Job: u.spec.ID, Code: code, Status: status})
+		if code >= 200 && code < 300 || code == 400 || code == 422 || code == 404 && kind == history.CancelAnswered ||
+			time.Since(began)+again > retryFor || !emulator.Sleep(ctx, again) {
 			return code, status
 		}
 	}
@@ -221,8 +221,8 @@
 
 // cancel has its job cancelled.
 func (u *user) cancel(ctx context.Context) {
-	u.world.Note(history.Event{Kind: history.CancelAsked, Job: u.spec.ID})
-	u.insist(ctx, history.CancelTold, "/v1/jobs/"+u.spec.ID+"/cancel", []byte("{}"))
+	u.world.RecordEvent(history.Event{Kind: history.CancelAsked, Job: u.spec.ID})
+	u.insist(ctx, history.CancelAnswered, "/v1/jobs/"+u.spec.ID+"/cancel", []byte("{}"))
 }
 
 // live is the life of a user, until the job is over or the experiment is.
@@ -231,7 +231,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("a job that can't be written: %v", err)) // all of it was made here
 	}
-	u.world.Upload(u.spec, func(task int) time.Duration { return u.runs[task%len(u.runs)] }, u.mistake)
+	u.world.RegisterJob(u.spec, func(task int) time.Duration { return u.runs[task%len(u.runs)] }, u.mistake)
 	began := time.Now()
 	code, _ := u.insist(ctx, history.Answered, "/v1/jobs", body)
 	if code == 400 || code == 422 || ctx.Err() != nil {
@@ -240,7 +240,7 @@
 	if u.mistake && u.cancelAt == 0 {
 		u.cancelAt = mistakenTill
 	}
-	for emulator.Pause(ctx, pollEvery) {
+	for emulator.Sleep(ctx, pollEvery) {
 		if u.cancelAt > 0 && time.Since(began) >= u.cancelAt {
 			u.cancelAt = 0
 			u.cancel(ctx)
@@ -250,15 +250,15 @@
 		if ctx.Err() != nil {
 			return
 		}
-		u.world.Note(history.Event{Kind: history.Polled, Job: u.spec.ID, Code: code, Status: status})
+		u.world.RecordEvent(history.Event{Kind: history.Polled, Job: u.spec.ID, Code: code, Status: status})
 		if status == protocol.Done || status == protocol.Cancelled {
 			// It may ask again at any later time.
-			if !emulator.Pause(ctx, time.Duration(u.rng.Float64()*float64(2*time.Minute))) {
+			if !emulator.Sleep(ctx, time.Duration(u.rng.Float64()*float64(2*time.Minute))) {
 				return
 			}
 			code, status, _ = u.ask(ctx, http.MethodGet, "/v1/jobs/"+u.spec.ID, nil, pollWait)
 			if ctx.Err() == nil {
-				u.world.Note(history.Event{Kind: history.Polled, Job: u.spec.ID, Code: code, Status: status})
+				u.world.RecordEvent(history.Event{Kind: history.Polled, Job: u.spec.ID, Code: code, Status: status})
 			}
 			return
 		}
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -122,8 +122,8 @@
 func (m *Meter) Note(e history.Event) {
 	m.s.Events++
 	m.last = e.At
-	m.served.Note(e)
-	m.cancelled.Note(e)
+	m.served.Observe(e)
+	m.cancelled.Observe(e)
 	switch e.Kind {
 	case history.Submitted:
 		if m.jobs[e.Job] != nil {
@@ -140,15 +140,15 @@
 		c.Jobs++
 	case history.Answered:
 		m.answered(m.jobs[e.Job], e)
-	case history.Told:
+	case history.StartReceived:
 		m.s.Starts++
 		m.starts[protocol.Token(e.Attempt).Term()]++
-	case history.On, history.Off:
+	case history.TaskStarted, history.TaskStopped:
 		id, index, _ := protocol.SplitTask(e.Task)
 		if j := m.jobs[id]; j != nil {
 			m.task(j, index, e)
 		}
-	case history.Rented:
+	case history.MachineRented:
 		m.s.Rented++
 	case history.Sampled:
 		m.sample(*e.Sample)
@@ -173,7 +173,7 @@
 
 func (m *Meter) task(j *metered, index int, e history.Event) {
 	c, t := m.classes[j.spec.Class], m.times[j.spec.Class]
-	if e.Kind == history.On {
+	if e.Kind == history.TaskStarted {
 		j.on[index] = e.At
 		if !j.begun && (j.spec.Shape == protocol.Array || len(j.on) == j.spec.Tasks) {
 			j.begun = true
@@ -213,7 +213,7 @@
 func (m *Meter) Summary() (Summary, error) {
 	s := m.s
 	s.Length = m.last
-	cancelled, err := summarizeCancelled(m.cancelled.At(m.last), m.within)
+	cancelled, err := summarizeCancelled(m.cancelled.Snapshot(m.last), m.within)
 	if err != nil {
 		return s, err
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -119,7 +119,7 @@
 	}
 	s, err := play(ctx, e, r.Version.Path, r.Seed, dir, w.Write, progress)
 	if err != nil {
-		w.Abandon()
+		w.Discard()
 		return err
 	}
 	if err := w.Close(s.Length); err != nil {
@@ -171,7 +171,7 @@
 	}
 	end := func() {
 		st.hosts.stop()
-		st.world.End()
+		st.world.Close()
 		cancel()
 		if !e.Real {
 			time.Sleep(settle) // all goroutines notice and end
@@ -182,7 +182,7 @@
 		if err := st.hosts.start(name); err != nil {
 			return sum, err
 		}
-		st.world.Note(history.Event{Kind: history.NodeUp, Node: name})
+		st.world.RecordEvent(history.Event{Kind: history.NodeUp, Node: name})
 	}
 	users, stopUsers := context.WithCancel(ctx)
 	defer stopUsers()
@@ -193,9 +193,9 @@
 	length := e.Length + e.Rest
 	var broken []history.Violation
 	var unanswered time.Duration
-	st.world.Rules(func(r *history.Checker) {
-		r.End(st.world.Since())
-		broken, unanswered = r.Violations(), r.Unanswered()
+	st.world.WithChecker(func(r *history.Checker) {
+		r.End(st.world.Elapsed())
+		broken, unanswered = r.Violations(), r.LongestUnanswered()
 		over = true
 	})
 	sum, err = meter.Summary()
@@ -241,7 +241,7 @@
 	if err != nil {
 		return nil, err
 	}
-	st.world.Fronts(st.a.Front)
+	st.world.SetControllerAddrs(st.a.Front)
 	st.dial = network.Dialer(usersHost)
 	if !e.Real {
 		st.hosts = &inside{net: st.pipes, files: files, ends: map[string]func(){}}
@@ -253,7 +253,7 @@
 		}
 	}
 	st.hosts = &processes{program: program, files: files, logs: dir, running: map[string]*process{}, ended: func(name string, err error) {
-		st.world.Note(history.Event{Kind: history.NodeDown, Node: name, Cause: fmt.Sprint("ended by itself: ", err)})
+		st.world.RecordEvent(history.Event{Kind: history.NodeDown, Node: name, Cause: fmt.Sprint("ended by itself: ", err)})
 		slog.Error("a controller ended by itself", "name", name, "err", err)
 	}}
 	return st, nil
@@ -276,7 +276,7 @@
 	}
 	var failed error
 	b := &breaker{d: st.d, world: st.world, net: st.pipes, hosts: st.hosts, depth: map[string]int{}, cuts: map[string]func(string, string) bool{},
-		note: st.world.Note, fail: func(err error) { failed = errors.Join(failed, err) }, draw: source(seed, "faults"),
+		note: st.world.RecordEvent, fail: func(err error) { failed = errors.Join(failed, err) }, draw: source(seed, "faults"),
 		cancel: func(job string) {
 			u := &user{order: order{spec: &protocol.JobSpec{ID: job}}, http: client, world: st.world, rng: source(seed, "cancels "+job)}
 			go u.cancel(ctx)
