--- a/internal/coordination/trace_records_test.go
+++ b/internal/coordination/trace_records_test.go
@@ -36,7 +36,7 @@
 // archiveRecord moves the record of a job to the archive of finished jobs, in the given state.
 func (w *world) archiveRecord(id, state string) error {
 	if state == protocol.Cancelled { // as if by its user
-		w.em.Note(history.Event{Kind: history.CancelAsked, Job: id})
+		w.em.RecordEvent(history.Event{Kind: history.CancelAsked, Job: id})
 	}
 	to := bookkeeping.Root + "z/" + id
 	for _, from := range []string{bookkeeping.Root + "j/" + id, to} {
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -78,7 +78,7 @@
 // Setup returns the settings of the emulated world around the deployment's controllers. If varies is set, the
 // world deviates from its nominal values as far as the protocol allows.
 func (d *Deployment) Setup(seed uint64, varies bool) emulator.Setup {
-	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, Most: d.MaxByType, CloudRPS: d.CloudRPS, State: d.State,
+	s := emulator.Setup{Controllers: d.Controllers, Types: d.Types, Teams: d.Teams, Capacity: d.Machines, MaxByType: d.MaxByType, CloudRPS: d.CloudRPS, State: d.State,
 		ReportEvery: d.ReportEvery, Lease: d.Lease, GangWait: d.GangWait, GangPeer: d.GangPeer, CancelWithin: d.CancelWithin, Seed: seed}
 	if varies {
 		s.Variation = emulator.Variation{Boots: true, NeverUp: 0.01, Speeds: true, Reports: true, Prices: true, ListLag: d.ListLag}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -38,11 +38,11 @@
 	"cancel-now":    "N [FOR]",         // users cancel N running jobs; up to eight of the jobs' machines hang FOR
 }
 
-var machineTroubles = map[string]emulator.Trouble{"die": emulator.Dies, "hang": emulator.Hangs, "sicken": emulator.Sickens, "slow": emulator.Slows,
-	"leave": emulator.Leaves, "taken": emulator.Taken, "deafen": emulator.Deafens, "hold": emulator.Holds, "mute": emulator.Mutes, "reboot": emulator.Reboots}
+var machineTroubles = map[string]emulator.MachineFault{"die": emulator.Crash, "hang": emulator.Hang, "sicken": emulator.FailTasks, "slow": emulator.SlowDown,
+	"leave": emulator.ReclaimWithNotice, "taken": emulator.Reclaim, "deafen": emulator.DropInbound, "hold": emulator.HoldInbound, "mute": emulator.BlockOutbound, "reboot": emulator.Reboot}
 
 // troubleEnds maps each trouble with a duration to the one that ends it.
-var troubleEnds = map[string]emulator.Trouble{"hang": emulator.Resumes, "deafen": emulator.Hears, "hold": emulator.Hears, "mute": emulator.Speaks}
+var troubleEnds = map[string]emulator.MachineFault{"hang": emulator.Resume, "deafen": emulator.RestoreInbound, "hold": emulator.RestoreInbound, "mute": emulator.RestoreOutbound}
 
 // validate reports an unknown kind, wrong arguments, and a fault that the experiment's clock does not support.
 func (f Fault) validate(e *Experiment, d *Deployment) error {
@@ -126,7 +126,7 @@
 // jobs and returns them.
 func (b *faultInjector) cancelNow(n int, hang bool, after func(time.Duration, func())) (hung []string) {
 	var jobs, machines []string
-	b.world.Rules(func(r *history.Checker) {
+	b.world.WithChecker(func(r *history.Checker) {
 		jobs = r.Running()
 		b.rng.Shuffle(len(jobs), func(i, k int) { jobs[i], jobs[k] = jobs[k], jobs[i] })
 		jobs = jobs[:min(n, len(jobs))]
@@ -142,7 +142,7 @@
 	}
 	b.rng.Shuffle(len(machines), func(i, k int) { machines[i], machines[k] = machines[k], machines[i] })
 	for _, id := range machines {
-		if len(hung) < maxHung && !slices.Contains(hung, id) && b.world.Strike(id, emulator.Hangs) == nil {
+		if len(hung) < maxHung && !slices.Contains(hung, id) && b.world.InjectFault(id, emulator.Hang) == nil {
 			hung = append(hung, id)
 		}
 	}
@@ -188,7 +188,7 @@
 	for _, c := range b.cuts {
 		predicates = append(predicates, c)
 	}
-	b.net.Sever(func(from, to string) bool {
+	b.net.Partition(func(from, to string) bool {
 		return slices.ContainsFunc(predicates, func(c func(from, to string) bool) bool { return c(from, to) })
 	})
 }
--- a/internal/lab/faults_begin.go
+++ b/internal/lab/faults_begin.go
@@ -67,19 +67,19 @@
 	state := r.world.State
 	switch kind := r.fault.Kind; kind {
 	case "state-outage":
-		r.whileActive(kind, state.Outage)
+		r.whileActive(kind, state.SetOutage)
 	case "state-refuses":
 		node := r.fault.Args[1]
-		r.whileActive(kind+node, func(active bool) { state.Refuse(node, active) })
+		r.whileActive(kind+node, func(active bool) { state.SetRefused(node, active) })
 	case "state-slow":
-		r.whileActive(kind, func(active bool) { state.Slow(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { state.DelayAnswers(valueIf(active, r.durationArg(1))) })
 	case "state-late":
-		r.whileActive(kind, func(active bool) { state.Late(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { state.DelayTransactions(valueIf(active, r.durationArg(1))) })
 	case "state-unheard":
-		r.whileActive(kind, func(active bool) { state.Unheard(valueIf(active, r.floatArg(1))) })
+		r.whileActive(kind, func(active bool) { state.DropAnswers(valueIf(active, r.floatArg(1))) })
 	case "state-lags":
 		node := r.fault.Args[1]
-		r.whileActive(kind+node, func(active bool) { state.Lag(node, valueIf(active, r.durationArg(2))) })
+		r.whileActive(kind+node, func(active bool) { state.DelayWatches(node, valueIf(active, r.durationArg(2))) })
 	case "state-writes":
 		r.whileActive(kind, r.limitWrites)
 	default:
@@ -94,22 +94,22 @@
 	if active {
 		limits.WriteRPS = max(1, limits.WriteRPS*r.floatArg(1))
 	}
-	r.world.State.Limit(limits)
+	r.world.State.SetLimits(limits)
 }
 
 func (r *activeFault) beginCloudFault() bool {
 	switch kind := r.fault.Kind; kind {
 	case "cloud-outage":
-		r.whileActive(kind, r.world.CloudOutage)
+		r.whileActive(kind, r.world.SetCloudOutage)
 	case "cloud-late":
-		r.whileActive(kind, func(active bool) { r.world.CloudLate(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { r.world.DelayCloudRequests(valueIf(active, r.durationArg(1))) })
 	case "capacity":
 		r.whileActive(kind, func(active bool) {
 			share := 1.0
 			if active {
 				share = r.floatArg(1)
 			}
-			r.world.Capacity(int(float64(r.deployment.Machines) * share))
+			r.world.SetCapacity(int(float64(r.deployment.Machines) * share))
 		})
 	case "boots":
 		r.whileActive(kind, func(active bool) {
@@ -117,7 +117,7 @@
 			if active {
 				factor = r.floatArg(1)
 			}
-			r.world.Boots(factor)
+			r.world.SetBootFactor(factor)
 		})
 	default:
 		return false
@@ -153,11 +153,11 @@
 	name := r.fault.String()
 	switch kind := r.fault.Kind; kind {
 	case "late-commands":
-		r.whileActive(kind, func(active bool) { r.world.HoldCommands(valueIf(active, r.floatArg(1))) })
+		r.whileActive(kind, func(active bool) { r.world.DelayCommands(valueIf(active, r.floatArg(1))) })
 	case "kept-reports":
-		r.whileActive(kind, r.world.KeepReports)
+		r.whileActive(kind, r.world.ReplayReports)
 	case "echoes":
-		r.whileActive(kind, func(active bool) { r.world.Echo(valueIf(active, r.durationArg(1))) })
+		r.whileActive(kind, func(active bool) { r.world.DuplicateReports(valueIf(active, r.durationArg(1))) })
 	case "cut":
 		r.whileActive(name, func(active bool) { r.setCut(name, active, nodeCut(r.fault.Args[1], r.fault.Args[2])) })
 	case "cut-zone":
@@ -174,7 +174,7 @@
 	case "machines":
 		trouble := r.fault.Args[0]
 		count, _ := strconv.Atoi(r.fault.Args[1])
-		affected := r.world.StrikeSome(count, machineTroubles[trouble], func(string, bool) bool { return true })
+		affected := r.world.InjectFaults(count, machineTroubles[trouble], func(string, bool) bool { return true })
 		if len(r.fault.Args) < 3 || troubleEnds[trouble] == "" {
 			r.markEnded()
 			break
@@ -190,10 +190,10 @@
 
 // endTroubleAfter ends a trouble of machines after a delay, and the fault with it. Machines that are gone by
 // then are skipped.
-func (r *activeFault) endTroubleAfter(delay time.Duration, ids []string, end emulator.Trouble) {
+func (r *activeFault) endTroubleAfter(delay time.Duration, ids []string, end emulator.MachineFault) {
 	r.after(delay, func() {
 		for _, id := range ids {
-			r.world.Strike(id, end)
+			r.world.InjectFault(id, end)
 		}
 		r.markEnded()
 	})
@@ -202,13 +202,13 @@
 // spotWave makes a share of the spot machines leave at once.
 func (r *activeFault) spotWave() {
 	spot := 0
-	r.world.StrikeSome(1<<20, "", func(_ string, isSpot bool) bool {
+	r.world.InjectFaults(1<<20, "", func(_ string, isSpot bool) bool {
 		if isSpot {
 			spot++
 		}
 		return false
 	})
-	r.world.StrikeSome(int(r.floatArg(0)*float64(spot)+0.5), emulator.Leaves, func(_ string, isSpot bool) bool { return isSpot })
+	r.world.InjectFaults(int(r.floatArg(0)*float64(spot)+0.5), emulator.ReclaimWithNotice, func(_ string, isSpot bool) bool { return isSpot })
 	r.markEnded()
 }
 
@@ -223,6 +223,6 @@
 		r.markEnded()
 		return true
 	}
-	r.endTroubleAfter(r.durationArg(1), hung, emulator.Resumes)
+	r.endTroubleAfter(r.durationArg(1), hung, emulator.Resume)
 	return true
 }
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -48,7 +48,7 @@
 	}
 	recorded := map[string]bool{}
 	for _, s := range specs {
-		w.Upload(s, estimatedRunTime(s), false)
+		w.RegisterJob(s, estimatedRunTime(s), false)
 		recorded[s.ID] = true
 	}
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY, 0o600)
@@ -158,7 +158,7 @@
 				http.Error(w, `{"error":"the description is not kept"}`, http.StatusServiceUnavailable)
 				return
 			}
-			g.world.Upload(s, estimatedRunTime(s), false)
+			g.world.RegisterJob(s, estimatedRunTime(s), false)
 		}
 	}
 	g.proxy.ServeHTTP(w, r)
--- a/internal/lab/launcher.go
+++ b/internal/lab/launcher.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	h.stops[name], err = h.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
+	h.stops[name], err = h.net.StartController(name, func(ctx context.Context, front, inner net.Listener) {
 		coordination.NewController(ctx, c, h.net.Dialer(name)).Serve(ctx, front, inner, c.MaxFrontConnections())
 	})
 	return err
@@ -250,7 +250,7 @@
 	if err != nil {
 		return up, err
 	}
-	up.World.Fronts(up.Addresses.Front)
+	up.World.SetControllerAddrs(up.Addresses.Front)
 	up.launcher = &processLauncher{program: o.Program, files: up.Files, operatorSettings: o.Settings, logs: o.Dir, running: map[string]*process{}, exited: o.Exited}
 	for _, name := range d.Controllers {
 		if err = up.launcher.start(name); err != nil {
@@ -294,7 +294,7 @@
 		up.launcher.stop()
 	}
 	if up.World != nil {
-		up.World.End()
+		up.World.Close()
 	}
 	up.cancel()
 }
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -120,8 +120,8 @@
 func (m *Meter) Note(e history.Event) {
 	m.summary.Events++
 	m.lastEvent = e.At
-	m.served.Note(e)
-	m.cancelled.Note(e)
+	m.served.Observe(e)
+	m.cancelled.Observe(e)
 	switch e.Kind {
 	case history.Submitted:
 		if m.jobs[e.Job] != nil {
@@ -138,15 +138,15 @@
 		c.Jobs++
 	case history.Answered:
 		m.noteAnswer(m.jobs[e.Job], e)
-	case history.Told:
+	case history.StartReceived:
 		m.summary.Starts++
 		m.startsByTerm[protocol.Token(e.Attempt).Term()]++
-	case history.On, history.Off:
+	case history.TaskStarted, history.TaskStopped:
 		id, index, _ := protocol.SplitTask(e.Task)
 		if j := m.jobs[id]; j != nil {
 			m.noteTask(j, index, e)
 		}
-	case history.Rented:
+	case history.MachineRented:
 		m.summary.Rented++
 	case history.Sampled:
 		m.noteSample(*e.Sample)
@@ -171,7 +171,7 @@
 
 func (m *Meter) noteTask(j *meteredJob, index int, e history.Event) {
 	c, t := m.classes[j.spec.Class], m.histograms[j.spec.Class]
-	if e.Kind == history.On {
+	if e.Kind == history.TaskStarted {
 		j.startedAt[index] = e.At
 		if !j.begun && (j.spec.Shape == protocol.Array || len(j.startedAt) == j.spec.Tasks) {
 			j.begun = true
@@ -211,7 +211,7 @@
 func (m *Meter) Summary() (Summary, error) {
 	s := m.summary
 	s.Length = m.lastEvent
-	cancelled, err := summarizeCancelled(m.cancelled.At(m.lastEvent), m.cancelWithin)
+	cancelled, err := summarizeCancelled(m.cancelled.Snapshot(m.lastEvent), m.cancelWithin)
 	if err != nil {
 		return s, err
 	}
