--- a/cmd/daledyke/up.go
+++ b/cmd/daledyke/up.go
@@ -17,13 +17,13 @@
 	"daledyke/internal/lab"
 )
 
-// upReady is how long all controllers of `up` may take until they take requests.
-const upReady = 30 * time.Second
+// readyTimeout bounds the time until all controllers of `up` accept requests.
+const readyTimeout = 30 * time.Second
 
 // upCommand runs a whole deployment on this machine.
 func upCommand(operator *string) *cobra.Command {
 	controllers, machines := 3, 40
-	door, dir, pbs := "127.0.0.1:8080", "", false
+	listen, dir, pbs := "127.0.0.1:8080", "", false
 	cmd := &cobra.Command{
 		Use:   "up",
 		Short: "Runs a whole deployment on this machine: an emulated cloud with machines, a state service, and controllers",
@@ -43,13 +43,13 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return up(ctx, cmd, upOptions{controllers, machines, door, dir, *operator, pbs})
+			return up(ctx, cmd, upOptions{controllers, machines, listen, dir, *operator, pbs})
 		},
 	}
 	f := cmd.Flags()
 	f.IntVar(&controllers, "controllers", controllers, "how `many` controllers run")
 	f.IntVar(&machines, "machines", machines, "how `many` machines the cloud has")
-	f.StringVar(&door, "listen", door, "where the front door listens, `HOST:PORT`")
+	f.StringVar(&listen, "listen", listen, "where the front door listens, `HOST:PORT`")
 	f.StringVar(&dir, "dir", "", "keep settings, logs and state in this `DIRECTORY`; without it they are gone afterwards")
 	f.BoolVar(&pbs, "pbs", false, "take PBS scripts, in a queue made for trying them")
 	return cmd
@@ -57,12 +57,12 @@
 
 type upOptions struct {
 	controllers, machines int
-	door, dir, settings   string
+	listen, dir, settings string
 	pbs                   bool
 }
 
-// tryQueue is a queue for trying scripts in.
-const tryQueue = `(daledyke
+// exampleQueue is the operators' settings with a queue for trying scripts.
+const exampleQueue = `(daledyke
   (pbs
     (queue "try" (default true) (team "desk") (class "render") (image "tools" ) (image-gb 1)
       (urgency "normal") (walltime "00:00:30") (mem-gb 4))))
@@ -87,14 +87,14 @@
 			return errors.New("--pbs makes settings of its own: name queues in those of --settings instead")
 		}
 		o.settings = filepath.Join(o.dir, "operators.edn")
-		if err := os.WriteFile(o.settings, []byte(tryQueue), 0o600); err != nil {
+		if err := os.WriteFile(o.settings, []byte(exampleQueue), 0o600); err != nil {
 			return err
 		}
 	}
 	ended := make(chan string, o.controllers)
 	d := lab.Example(o.controllers, o.machines)
 	d.SpeedUp(10)
-	u, err := lab.BringUp(ctx, d, lab.UpOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Listen: o.door,
+	u, err := lab.StartLocal(ctx, d, lab.LocalOptions{Program: program, Settings: o.settings, Dir: o.dir, Keep: keep, Listen: o.listen,
 		Exited: func(name string, err error) { ended <- fmt.Sprintf("%s ended: %v; its log is %s.log", name, err, name) }})
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 		fmt.Fprintf(out, "  %-10s front %s, internal %s, settings %s\n", name, u.Addresses.Front[name], u.Addresses.Inner[name], u.Files[name])
 	}
 	fmt.Fprintf(out, "Try, in another terminal:\n  daledyke status --address %s\n", u.Addresses.Front[first])
-	fmt.Fprintf(out, "  curl -d '%s' http://%s/v1/jobs\n", sampleJob, u.Address)
+	fmt.Fprintf(out, "  curl -d '%s' http://%s/v1/jobs\n", exampleJob, u.Address)
 	fmt.Fprintf(out, "  curl http://%s/v1/jobs/wk-1\n", u.Address)
 	if o.settings != "" {
 		fmt.Fprintf(out, "  daledyke qsub --address %s SCRIPT\n", u.Address)
@@ -120,32 +120,32 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case what := <-ended:
-			slog.Error(what)
+		case message := <-ended:
+			slog.Error(message)
 		}
 	}
 }
 
-// awaitReady waits until all controllers take requests, or one of them has ended.
-func awaitReady(ctx context.Context, u *lab.Up, ended <-chan string, dir string) error {
-	ctx, cancel := context.WithTimeout(ctx, upReady)
+// awaitReady waits until all controllers accept requests or one of them has ended.
+func awaitReady(ctx context.Context, u *lab.LocalDeployment, ended <-chan string, dir string) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	ready := make(chan error, 1)
 	go func() { ready <- u.Ready(ctx) }()
 	select {
 	case err := <-ready:
 		return err
-	case what := <-ended:
-		return fmt.Errorf("%s\n%s", what, lastLines(dir, what))
+	case message := <-ended:
+		return fmt.Errorf("%s\n%s", message, logTail(dir, message))
 	}
 }
 
-// sampleJob is a job to try: three tasks of 20 s.
-const sampleJob = `{"id":"wk-1","laneClass":"render","crew":"desk","shape":"array","urgency":"normal","passes":3,"cores":4,"accelerators":0,"ramGb":8,"build":"tools","pullGb":1,"oneZone":false,"scatter":false,"standby":false,"expectedS":20,"snapshotS":0,"flushS":0}`
+// exampleJob is a job to try: three tasks of 20 s.
+const exampleJob = `{"id":"wk-1","laneClass":"render","crew":"desk","shape":"array","urgency":"normal","passes":3,"cores":4,"accelerators":0,"ramGb":8,"build":"tools","pullGb":1,"oneZone":false,"scatter":false,"standby":false,"expectedS":20,"snapshotS":0,"flushS":0}`
 
-// lastLines are the last lines of a controller's log.
-func lastLines(dir, what string) string {
-	name, _, _ := strings.Cut(what, " ")
+// logTail is the last lines of the log of the controller that a message begins with.
+func logTail(dir, message string) string {
+	name, _, _ := strings.Cut(message, " ")
 	raw, err := os.ReadFile(filepath.Join(dir, name+".log"))
 	if err != nil {
 		return err.Error()
--- a/internal/balance/vacate_test.go
+++ b/internal/balance/vacate_test.go
@@ -85,8 +85,7 @@
 	})
 }
 
-// The same snapshot twice gives the same plan, and once a plan is carried out there is less to do each time
-// until there is nothing: services are not moved in circles.
+// When each plan is carried out before the next is made, the plans end: services are not moved in circles.
 func TestVacateConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := fleetOf(t)
@@ -113,7 +112,7 @@
 			if len(emptied) == 0 {
 				return
 			}
-			// Carry the plan out: the emptied machines go, others receive their services.
+			// Carry out the plan: the emptied machines are returned, others receive their services.
 			var remaining []*fleet.Machine
 			for i, m := range copied.Machines {
 				if n := in.Machines[i]; m.Free != n.Free {
@@ -135,7 +134,7 @@
 	})
 }
 
-// Readable snapshots, one for each rule.
+// One small snapshot for each rule.
 func TestVacate(t *testing.T) {
 	type testMachine struct {
 		replicas   int
@@ -197,8 +196,8 @@
 }
 
 // Services move away from types on which they cost far more than elsewhere, even to machines that no service
-// keeps and that lack their image, and never to a place that costs more than theirs. Boxes that a replica fills
-// were emptied into racks with room, which stayed for them.
+// keeps and that lack their image, and never to machines on which they cost more. The test guards against moves
+// of replicas from small machines that they fill to large machines, which are then kept for them.
 func TestServicesMoveToCheaperMachines(t *testing.T) {
 	small := map[string]protocol.MachineType{
 		"box":  {Name: "box", Cores: 4, RAM: 16, Price: 1, FetchRate: 1, BootS: 20, Zones: []string{"a"}},
--- a/internal/board/news.go
+++ b/internal/board/news.go
@@ -27,7 +27,7 @@
 // there may still be in transit, so the task must not be started elsewhere yet.
 const CauseLost = "lost"
 
-// Unconfirmed reports whether a state is one of the holder's own.
+// Unconfirmed reports whether a state is one of the holder's own, of a start that the worker has not confirmed.
 func Unconfirmed(state string) bool {
 	return state == TaskReserved || state == TaskQueued || state == TaskStarting
 }
@@ -58,13 +58,13 @@
 	Suspect bool
 	Failed  []string
 	Sound   bool
-	// Leaving: the cloud gave notice that it will take the machine away.
+	// Leaving: the cloud gave notice that it will reclaim the machine.
 	Leaving bool
 	// Vacates: the tasks here are to be moved elsewhere. Versions without this field ignore it, and place
 	// nothing here since the machine is not usable.
 	Vacates bool
-	// Drained is the number of the drain request since which the machine has been kept free without a
-	// break, if no task can be on it; else 0.
+	// Drained is the number of the drain request since which the machine has been draining without
+	// interruption, if no task can be on the machine; otherwise 0.
 	Drained uint64
 	// Images are cached, or being fetched if Pulling names them.
 	Images  []string
@@ -95,12 +95,12 @@
 	Version     uint64
 	// Full: the reply holds all machines, not only those that changed.
 	Full bool
-	// Window is the newest window whose owners the holder obeys.
+	// Window is the newest window that the holder follows: it accepts requests from that window's owners.
 	Window uint64
 	// Valid: the holder's session certainly lives.
 	Valid bool
 	// Entitled: nobody else can hold the holder's slots, since its session lives or all siblings granted
-	// it a moratorium. Versions without this field mean Valid.
+	// it a moratorium. Versions without this field send only Valid, which implies it.
 	Entitled bool
 	// ServedMs is how many milliseconds ago the state service last served a request of the holder's
 	// controller, 0 if that is not known; versions without this field never say.
--- a/internal/coordination/acks_test.go
+++ b/internal/coordination/acks_test.go
@@ -21,13 +21,13 @@
 // newTestHolder returns a holder with one slot, that of a machine, just taken under a term. The machine's
 // tasks are not known yet.
 func newTestHolder(ctx context.Context, c *config.Config, dial transport.Dialer, term uint64, machine string) (*Holder, *heldSlot) {
-	h := NewHolder(ctx, c, &Session{base: time.Now()}, nil, transport.NewWorkers(dial, c.ToWorkers()))
+	h := NewHolder(ctx, c, &Session{base: time.Now()}, nil, transport.NewWorkers(dial, c.MaxWorkerConnections()))
 	h.session.validUntil.Store(int64(time.Hour))
 	s := &heldSlot{slot: h.slotOf(machine), term: term, adopted: time.Now(), ready: true, roster: bookkeeping.Roster{protocol.MachineNumber(machine): true},
 		awaited: map[string]bool{machine: true}}
 	h.slots[s.slot] = s
 	h.synced(time.Now())
-	h.registry[machine] = &bookkeeping.Machine{ID: machine}
+	h.registeredMachines[machine] = &bookkeeping.Machine{ID: machine}
 	return h, s
 }
 
@@ -81,7 +81,7 @@
 // slot was taken. It must not count as empty together with them.
 func TestPossiblyReceivedAnswerExtendsLease(t *testing.T) {
 	withHolder(t, func(t *testing.T, c *config.Config, h *Holder, s *heldSlot) {
-		lease := config.Surely(c.WorkerLease())
+		lease := config.LocalUpperBound(c.WorkerLease())
 		time.Sleep(6 * time.Second)
 		if status, _ := h.Report(testReport(3, 50, protocol.NewToken(6, 9))); status != http.StatusOK {
 			t.Fatal(status)
@@ -168,7 +168,7 @@
 	})
 }
 
-// A command that was never sent, for want of a connection, says nothing of its machine: the tasks to be
+// A command that was never sent, for want of a connection, is no evidence about its machine: the tasks to be
 // started wait on, and no acknowledgement is required. (Otherwise, when many silent machines hold all
 // connections, healthy machines count as receiving nothing.)
 func TestUnsentCommandRequiresNoAck(t *testing.T) {
@@ -231,7 +231,7 @@
 		// So does a report after a session that ended, also if the machine restarted unnoticed: whatever it
 		// shows from then on is newer than all before.
 		shown := w.tokenSeq
-		time.Sleep(config.Surely(c.WorkerLease()) + time.Second)
+		time.Sleep(config.LocalUpperBound(c.WorkerLease()) + time.Second)
 		if h.runQueuedAndTick(); !w.lapsed {
 			t.Fatal("the lease has not lapsed")
 		}
@@ -301,17 +301,18 @@
 	})
 }
 
-// Only reports that a holder has not heard, made since it took the slot, show that its machines report
-// elsewhere; copies of old reports do not. A version that tells of no strays is assumed to have seen some.
-func TestCopiedReportsAreNotStrays(t *testing.T) {
+// A sibling's notice of a report counts as evidence that machines report elsewhere only if the report is newer
+// than those the holder received and was made since it took the slot; copies of old reports do not count. A
+// sibling whose version sends no such notices is assumed to have received such a report.
+func TestCopiedReportsDoNotCountAsMisrouted(t *testing.T) {
 	withHolder(t, func(t *testing.T, _ *config.Config, h *Holder, s *heldSlot) {
 		h.Report(testReport(2, 5, protocol.NewToken(7, 1)))
 		time.Sleep(5 * time.Second)
 		for _, c := range []struct {
-			name        string
-			stray       board.Stray
-			tellsStrays bool
-			counts      bool
+			name     string
+			stray    board.Stray
+			detailed bool
+			counts   bool
 		}{
 			{"nothing", board.Stray{}, true, false},
 			{"a copy", board.Stray{Machine: "host-000004", Session: 2, Ticket: 5}, true, false},
@@ -321,7 +322,7 @@
 			{"an older version", board.Stray{}, false, true},
 		} {
 			h.reportedElsewhereAt = time.Time{}
-			if h.noteMisrouted(c.stray, c.tellsStrays, time.Now()); !h.reportedElsewhereAt.IsZero() != c.counts {
+			if h.noteMisrouted(c.stray, c.detailed, time.Now()); !h.reportedElsewhereAt.IsZero() != c.counts {
 				t.Errorf("%s: %v", c.name, h.reportedElsewhereAt)
 			}
 		}
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -41,7 +41,8 @@
 	})
 }
 
-// mayTellUser reports whether a user is told that a job is cancelled, after all calls in flight have been handled.
+// mayTellUser reports whether a user is told that a job is cancelled, after all calls in flight have been
+// handled.
 func (h *Holder) mayTellUser(job string) bool {
 	h.confirmation(job, time.Now())
 	h.runQueuedAndTick()
@@ -63,8 +64,8 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if waited := time.Since(began); waited < c.AnnounceFor() || waited > c.AnnounceFor()+time.Second {
-			t.Errorf("waited for %v, want %v", waited, c.AnnounceFor())
+		if waited := time.Since(began); waited < c.CancellationAckTimeout() || waited > c.CancellationAckTimeout()+time.Second {
+			t.Errorf("waited for %v, want %v", waited, c.CancellationAckTimeout())
 		}
 		if h.mayTellUser("wk-3") {
 			t.Error("the user was told although a sibling has not acknowledged")
@@ -89,7 +90,7 @@
 		if !h.mayTellUser("wk-1") {
 			t.Error("the user was not told although c2 no longer has a session")
 		}
-		h.memberChanged("c2", &bookkeeping.Member{Generation: bookkeeping.GenerationLonger})
+		h.memberChanged("c2", &bookkeeping.Member{Generation: bookkeeping.GenerationLongPromises})
 		if !h.mayTellUser("wk-2") {
 			t.Error("the user was not told although c2 is of the previous version")
 		}
--- a/internal/coordination/bad_input_test.go
+++ b/internal/coordination/bad_input_test.go
@@ -133,7 +133,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, "", "")
 		defer w.shutDown()
-		w.em.CloudOutage(true)
+		w.em.SetCloudOutage(true)
 		time.Sleep(4 * time.Second)
 		for body, status := range invalidSubmissions() {
 			want := http.StatusServiceUnavailable
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -21,8 +21,8 @@
 	return protocol.Room{}
 }
 
-// freeRoom is the room left beside all that is or may be on the machine; queued tells whether tasks that wait
-// for room count, too.
+// freeRoom is the room left beside all that is or may be on the machine. If queued is set, tasks that wait for
+// room count too.
 func (h *Holder) freeRoom(w *worker, queued bool) protocol.Room {
 	t, ok := h.machineTypes[w.machineType]
 	if !ok {
@@ -94,8 +94,8 @@
 	return out
 }
 
-// isSettled reports whether no command to the worker is due, or will be before something changes.
-func (h *Holder) isSettled(w *worker) bool {
+// isReconciled reports whether no command to the worker is due, or will be before something changes.
+func (h *Holder) isReconciled(w *worker) bool {
 	for _, e := range w.entries {
 		if e.stopRequested || e.unconfirmed() || e.exited() || h.isJobOver(e.job) {
 			return false
@@ -104,11 +104,11 @@
 	return true
 }
 
-// cancellationStops returns the stops that the answer to a report contains, so that the answer renews nothing
-// that is known to be cancelled (invariant 9): a worker that receives the answer carries them out with it,
-// and one that does not gets no renewal. known is false if a task runs there of which it is unknown whether
-// it is cancelled. The commands may be repeated and arrive late, as all stops may; starts of such tasks that
-// are in flight are fenced by a higher token.
+// cancellationStops returns the stops of cancelled tasks that the answer to a report contains. With them the
+// answer renews nothing that is known to be cancelled (invariant 9): a worker that receives the answer carries
+// out the stops, and one that does not gets no renewal. known is false if the report lists a running task of an
+// unknown job, which may be cancelled. Like all stops, these may be repeated and may arrive late. Starts of
+// cancelled tasks that are in flight are fenced by a higher token.
 func (h *Holder) cancellationStops(w *worker, rep *protocol.Report) (stops []protocol.Command, known bool) {
 	stops = []protocol.Command{}
 	stop := func(task string, attempt uint64) {
@@ -153,7 +153,7 @@
 	var cmds []protocol.Command
 	if w.verified {
 		if cmds = h.desiredCommands(w, now, mayAct); len(cmds) == 0 && !(mayAct && w.probeDue) {
-			w.settled = mayAct && h.isSettled(w)
+			w.reconciled = mayAct && h.isReconciled(w)
 			return
 		}
 	} else if !mayAct {
@@ -174,7 +174,7 @@
 // commandLifetime is how long after it was sent an unanswered direct command counts as in flight. The
 // protocol gives no bound. This one is for machines that restart; for all others token and session are proof
 // enough.
-func commandLifetime(c *config.Config) time.Duration { return config.Surely(c.WorkerLease()) }
+func commandLifetime(c *config.Config) time.Duration { return config.LocalUpperBound(c.WorkerLease()) }
 
 // noteStarts records the starts of a direct command that is sent; they count as in flight until the given
 // time unless the command is answered.
--- a/internal/coordination/decisions_test.go
+++ b/internal/coordination/decisions_test.go
@@ -143,7 +143,7 @@
 	use := map[string]protocol.Room{"free": {Cores: 4}, "bound": {Cores: 8}}
 	job := func(team string, p protocol.Priority) *bookkeeping.Job {
 		s := protocoltest.Job(func(s *protocol.JobSpec) { s.Team, s.Priority, s.Accels = team, p, 0 })
-		return &bookkeeping.Job{Spec: s, Place: bookkeeping.Place{Urgency: urgencyOf(c, &bookkeeping.Job{Spec: s})}}
+		return &bookkeeping.Job{Spec: s, DependencyState: bookkeeping.DependencyState{Urgency: urgencyOf(c, &bookkeeping.Job{Spec: s})}}
 	}
 	// A job that an urgent job needs is as urgent, both as claimant and as victim.
 	needed := func(j *bookkeeping.Job) *bookkeeping.Job { j.Rank = 2; return j }
@@ -199,13 +199,13 @@
 	}
 }
 
-// Admission goes by blocks: the owner of a job may not start tasks in blocks that others own. A window that
+// Admission is checked by block: the owner of a job may not start tasks in blocks that others own. A window that
 // starts to divide jobs makes earlier requests void, though the ranges of the ring stay the same.
 func TestAdmissionChecksTheOwnerOfTheBlock(t *testing.T) {
 	h := &Holder{actor: newActor(context.Background()), versionChanged: make(chan struct{}), cfg: &config.Config{}, session: &Session{}, fences: map[string]protocol.Token{},
 		jobs: map[string]*bookkeeping.Job{}, workersByID: map[string]*worker{}, slots: map[int]*heldSlot{}}
 	s := &protocol.JobSpec{ID: "wk-1", Shape: protocol.Array, Tasks: 3 * bookkeeping.BlockTasks}
-	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, Seat: bookkeeping.Seat{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlocksOf(s)}}
+	j := &bookkeeping.Job{Spec: s, State: protocol.Pending, RingPosition: bookkeeping.RingPosition{Token: protocol.RingToken(s.ID), Blocks: bookkeeping.BlockCount(s)}}
 	slot := &heldSlot{}
 	h.jobs[s.ID], h.slots[0], h.workersByID["host-1"] = j, slot, &worker{id: "host-1", slot: slot, entries: map[string]*entry{}}
 	refusal := func(caller string, index int) string {
@@ -216,7 +216,7 @@
 	if reason := refusal(jobOwner, s.Tasks-1); reason == "not the owner" {
 		t.Error("the owner of an undivided job was refused")
 	}
-	h.adoptWindow(&bookkeeping.Window{Number: 6, Owners: controllers, Divided: true})
+	h.adoptWindow(&bookkeeping.Window{Number: 6, Owners: controllers, BlockOwners: true})
 	if h.ownersSince != 6 {
 		t.Errorf("owners since window %d", h.ownersSince)
 	}
@@ -232,7 +232,7 @@
 	}
 }
 
-// A leader asks to drain machines that it believes to be idle. The request fails for a machine that has got a
+// A leader asks to drain machines that it considers idle. The request fails for a machine that has got a
 // task meanwhile, and ends when the leader drops the machine. A request with a lower number than the last one
 // has no effect.
 func TestDrainRequests(t *testing.T) {
@@ -264,7 +264,7 @@
 		t.Errorf("a former leader's request took effect: %v", got)
 	}
 	h.drain(&DrainArgs{Wish: 101, Machines: []string{"host-1"}})
-	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.workersByID["host-1"].drainWish != 100 {
+	if got := drained(); !slices.Equal(got, []string{"host-1"}) || h.workersByID["host-1"].drainSequence != 100 {
 		t.Errorf("draining: %v", got)
 	}
 }
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// addReportedMachine adds a holder's view of a machine; it tells whether the machine is available for
+// addReportedMachine adds a holder's view of a machine; it reports whether the machine is available for
 // planning.
 func (o *Owner) addReportedMachine(st *fleetState, id string, m *board.Machine) bool {
 	st.seen[id] = true
@@ -143,7 +143,7 @@
 // siblingDoubtTimeout is how long a controller may be silent before no slot is moved to it.
 const siblingDoubtTimeout = 4 * time.Second
 
-// ringLoad is the load of each slot, and which controllers are doubted.
+// ringLoad is the load of each slot, and which controllers are unresponsive.
 func (o *Owner) ringLoad(now time.Time) ring.Load {
 	l := ring.Load{Slots: make([]float64, o.slots), Unresponsive: map[string]bool{}}
 	for n := range l.Slots {
@@ -170,7 +170,7 @@
 	rates, waitingForImage := o.completionRates(now), map[string]int{}
 	limits := o.remainingTeamLimits()
 	for _, js := range o.activeJobsByUrgency() {
-		if js.job.Waits > 0 || js.opinion == placement.AtFault {
+		if js.job.WaitingOn > 0 || js.verdict == placement.AtFault {
 			continue // no capacity is kept from other work for a job that is expected to fail
 		}
 		s := js.job.Spec
@@ -181,7 +181,7 @@
 		if allowance := limits[s.Team]; allowance != nil {
 			missing = allowance.Take(s, missing)
 		}
-		if n, bound := affordable[s.ID]; bound {
+		if n, limited := affordable[s.ID]; limited {
 			missing = min(missing, n)
 		}
 		if missing <= 0 {
@@ -227,7 +227,7 @@
 	}
 	left := map[string]int{}
 	for _, z := range o.cfg.Deployment.Zones {
-		left[z] = s.ZoneShare() - zones[z]
+		left[z] = s.MaxPerZone() - zones[z]
 		if s.OneZone && len(zones) > 0 && zones[z] == 0 {
 			left[z] = 0
 		}
@@ -268,7 +268,7 @@
 func (o *Owner) remainingTeamLimits() map[string]*fleet.Allowance {
 	left := map[string]*fleet.Allowance{}
 	for i := range o.cfg.Deployment.Teams {
-		if t := &o.cfg.Deployment.Teams[i]; t.Limited() {
+		if t := &o.cfg.Deployment.Teams[i]; t.HasLimit() {
 			left[t.Name] = fleet.NewAllowance(protocol.Room{Cores: t.CoresMax, Accels: t.AccelsMax}, o.currentTeamUsage().placed[t.Name])
 		}
 	}
@@ -288,7 +288,7 @@
 				rate += 1 / e.Mean.Seconds()
 			}
 		}
-		rate /= float64(placement.CountWanted(m, wanted))
+		rate /= float64(placement.CountWantedImages(m, wanted))
 		for _, image := range m.Images {
 			if rate > 0 && !slices.Contains(m.Pulling, image) {
 				rates[image] += rate
@@ -303,8 +303,8 @@
 func (o *Owner) targetFinish(js *jobState) time.Time {
 	j := js.job
 	target := j.Ready.Add(o.objective(j.Spec.Class, "finished", 0))
-	if !j.End.IsZero() && (target.Equal(j.Ready) || j.Needed && j.End.Before(target)) {
-		return j.End
+	if !j.Deadline.IsZero() && (target.Equal(j.Ready) || j.HasDependents && j.Deadline.Before(target)) {
+		return j.Deadline
 	}
 	return target
 }
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -20,7 +20,7 @@
 func urgencyOf(c *config.Config, j *bookkeeping.Job) bookkeeping.Urgency {
 	u := bookkeeping.Urgency{Rank: j.Spec.Priority.Rank(), Filler: c.Filler(j.Spec)}
 	if due, ok := j.Spec.Deadline(); ok {
-		u.End = j.Accepted.Add(due)
+		u.Deadline = j.Accepted.Add(due)
 	}
 	return u
 }
@@ -71,7 +71,7 @@
 		case j.Spec.Shape == protocol.Service:
 			return "", fmt.Errorf("%w: %s is a service, which is never done", errUnsatisfiable, id)
 		case j.State == protocol.Cancelled:
-			cancelledWith = cmp.Or(j.With, id)
+			cancelledWith = cmp.Or(j.CancelledWith, id)
 		case j.State != protocol.Done:
 			unfinished = append(unfinished, id)
 		}
@@ -89,7 +89,7 @@
 		if known[id] != nil || id == spec.ID {
 			continue
 		}
-		listed, err := k.store.ListOver(ctx, id, pageSize)
+		listed, err := k.store.ListArchived(ctx, id, pageSize)
 		if err == nil && listed[id] == nil {
 			listed[id], err = k.store.ReadJob(ctx, id)
 		}
@@ -120,7 +120,7 @@
 
 // addFinalJob adds a final job that the replica does not have.
 func (k *Controller) addFinalJob(j *bookkeeping.Job) {
-	j.Seat = SeatFor(k.cfg, j.Spec)
+	j.RingPosition = SeatFor(k.cfg, j.Spec)
 	k.holder.tell(func() {
 		if k.holder.jobs[j.Spec.ID] == nil {
 			k.holder.jobChanged(j)
--- a/internal/coordination/scripts.go
+++ b/internal/coordination/scripts.go
@@ -16,7 +16,7 @@
 	"daledyke/internal/transport"
 )
 
-// Batch scripts with PBS directives, submitted at the front door (docs/design-pbs.md).
+// Batch scripts with PBS directives, submitted by users (docs/design-pbs.md).
 
 var errNoQueues = errors.New("scripts are not taken here: the operators' settings have no (pbs ...)")
 
@@ -26,7 +26,7 @@
 	if len(k.cfg.Queues) == 0 {
 		return http.StatusNotFound, errNoQueues
 	}
-	id := pbs.IDOf(key)
+	id := pbs.IDForKey(key)
 	command, err := pbs.CommandLine(options)
 	var j *pbs.Job
 	if err == nil {
@@ -36,7 +36,7 @@
 		// A job accepted under this key stays accepted, whatever is sent with the key later.
 		return k.answerKnown(ctx, id, func() (int, any) { return http.StatusUnprocessableEntity, err })
 	}
-	body, err := json.Marshal(j.Native(script))
+	body, err := json.Marshal(j.Submission(script))
 	if err == nil && len(body) > protocol.MaxBody {
 		err = fmt.Errorf("the script and what goes with it take %d bytes of %d", len(body), protocol.MaxBody)
 	}
@@ -45,14 +45,14 @@
 	}
 	status, answer = k.Submit(ctx, body)
 	if st, ok := answer.(*protocol.JobStatus); ok {
-		return status, protocol.ScriptTaken{ID: pbs.Name(id, j.Array != nil), Job: id, Status: st.Status, Notes: j.Notes}
+		return status, protocol.ScriptAccepted{ID: pbs.JobName(id, j.Array != nil), Job: id, Status: st.Status, Notes: j.Notes}
 	}
 	return status, answer
 }
 
 // Script returns the script that a task of a batch job runs, or the script as submitted if task is -1.
 func (k *Controller) Script(ctx context.Context, id string, task int) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
+	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshTimeout)
 	defer cancel()
 	j := k.owner.Known(ctx, id)
 	if j == nil {
@@ -108,7 +108,7 @@
 	list, ok := askWithTimeout(ctx, &k.owner.actor, func() *protocol.JobList {
 		var ids []string
 		for id, js := range k.owner.jobs {
-			if f.Chooses(js.job.Spec, js.job.Final()) {
+			if f.Matches(js.job.Spec, js.job.Final()) {
 				ids = append(ids, id)
 			}
 		}
--- a/internal/coordination/scripts_test.go
+++ b/internal/coordination/scripts_test.go
@@ -16,17 +16,17 @@
 )
 
 // qsub submits a script as clients do, through any controller that answers.
-func (w *world) qsub(key, options, script string) (protocol.ScriptTaken, error) {
-	var doors []string
+func (w *world) qsub(key, options, script string) (protocol.ScriptAccepted, error) {
+	var addresses []string
 	for _, n := range w.names {
-		doors = append(doors, "front-"+n+":1")
+		addresses = append(addresses, "front-"+n+":1")
 	}
-	return transport.NewUsers(w.net.Dialer("user"), doors).SubmitScript(w.t.Context(), key, options, script)
+	return transport.NewUserClient(w.net.Dialer("user"), addresses).SubmitScript(w.t.Context(), key, options, script)
 }
 
 // uploadScript makes the job of a script known to the emulated workers.
 func (w *world) uploadScript(key, options, script string) string {
-	id := pbs.IDOf(key)
+	id := pbs.IDForKey(key)
 	command, err := pbs.CommandLine(options)
 	if err != nil {
 		w.t.Fatal(err)
@@ -54,7 +54,7 @@
 		})
 		for range 2 { // the client did not get the answer and submits again
 			taken, err := w.qsub("key-1", "", script)
-			if err != nil || taken.Job != id || taken.ID != pbs.Name(id, true) {
+			if err != nil || taken.Job != id || taken.ID != pbs.JobName(id, true) {
 				t.Fatalf("%+v, %v", taken, err)
 			}
 		}
@@ -65,7 +65,7 @@
 		if err := w.expect(id, []string{"starts", "3"}); err != nil {
 			t.Error(err)
 		}
-		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c2:1"})
+		users := transport.NewUserClient(w.net.Dialer("user"), []string{"front-c2:1"})
 		if status, got := w.rawRequest(http.MethodGet, "front-c2/v1/jobs/"+id+"/script", "", nil); status != 200 || got != script {
 			t.Errorf("the script is %q, answer %d", got, status)
 		}
@@ -111,9 +111,9 @@
 		if _, err := w.qsub("held", "", script); err != nil {
 			t.Fatal(err)
 		}
-		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c1:1", "front-c2:1"})
+		users := transport.NewUserClient(w.net.Dialer("user"), []string{"front-c1:1", "front-c2:1"})
 		started := func() (n int) {
-			w.em.Rules(func(r *history.Checker) { n = r.Starts(id) })
+			w.em.WithChecker(func(r *history.Checker) { n = r.Starts(id) })
 			return n
 		}
 		time.Sleep(20 * time.Second)
@@ -193,7 +193,7 @@
 		if _, err := w.qsub("later", options, script); err != nil {
 			t.Fatal(err)
 		}
-		users := transport.NewUsers(w.net.Dialer("user"), []string{"front-c1:1"})
+		users := transport.NewUserClient(w.net.Dialer("user"), []string{"front-c1:1"})
 		time.Sleep(100 * time.Second)
 		if v, err := users.View(t.Context(), id); err != nil || v.Reason != protocol.ReasonTime || v.StartsInS == nil || *v.StartsInS < 15 || *v.StartsInS > 25 {
 			t.Errorf("%+v, %v", v, err)
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -35,7 +35,7 @@
 		k := fleet.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		b.up[k]++
 		if t, ok := o.machineTypes[m.Type]; ok {
-			b.used[k] += min(1, t.Room().Sub(m.Free).Share(t.Room()))
+			b.used[k] += min(1, t.Room().Sub(m.Free).DominantShare(t.Room()))
 		}
 	}
 	for id, m := range o.registeredMachines {
@@ -54,11 +54,11 @@
 	return &o.fleetCache
 }
 
-// waitReason tells why no more of a job's tasks run, "" if none is missing, and in how long the next should
+// waitReason returns why no more of a job's tasks run, "" if none is missing, and in how long the next should
 // start, negative if that is not known.
 func (o *Owner) waitReason(js *jobState, now time.Time) (reason string, in time.Duration) {
 	s := js.job.Spec
-	w := placement.JobWait{Final: js.job.Final(), Held: js.job.Held, TimeToBegin: js.job.From().Sub(now), DependenciesPending: js.job.Waits > 0, AtFault: js.opinion == placement.AtFault,
+	w := placement.JobWait{Final: js.job.Final(), Held: js.job.Held, TimeToBegin: js.job.EarliestStart().Sub(now), DependenciesPending: js.job.WaitingOn > 0, AtFault: js.verdict == placement.AtFault,
 		Missing: s.Tasks - js.job.DoneCount(), SlotsIncomplete: !o.board.AllComplete(o.slots, 0), StartRequested: len(js.pending) > 0,
 		BindingQuota:   o.limitingAccount(js, now),
 		AtTeamLimit:    func() bool { return js.gainWindow != 0 && !o.teamLimitAllows(js, 1) },
@@ -69,14 +69,14 @@
 	return w.Reason()
 }
 
-// nextBooting tells whether machines that fit a job are booting, and in how long the first should have its
+// nextBooting reports whether machines that fit a job are booting, and in how long the first should have its
 // image, negative if they are late.
 func (o *Owner) nextBooting(s *protocol.JobSpec, now time.Time) (ready time.Duration, booting bool) {
 	ready = -1
 	current := o.currentFleet(now)
 	for k, n := range current.booting {
 		t := o.machineTypes[k.Type]
-		if n == 0 || !s.Allows(k.Type, k.Zone, k.Spot) || !t.Takes(s) {
+		if n == 0 || !s.Allows(k.Type, k.Zone, k.Spot) || !t.CanRun(s) {
 			continue
 		}
 		booting = true
@@ -116,7 +116,7 @@
 		v.Status = protocol.Running
 	}
 	j := js.job
-	v.Needs, v.NeededBy, v.CancelledWith = j.For, j.Behind, j.With
+	v.Needs, v.NeededBy, v.CancelledWith = j.WaitsFor, j.NeededBy, j.CancelledWith
 	if j.Rank != s.Priority.Rank() {
 		v.RaisedTo = string(protocol.PriorityOf(j.Rank))
 	}
@@ -127,8 +127,8 @@
 	if due, ok := s.Deadline(); ok {
 		v.DueInS = remaining(j.Accepted.Add(due))
 	}
-	if !j.End.IsZero() && !j.Final() {
-		v.MustEndInS = remaining(j.End)
+	if !j.Deadline.IsZero() && !j.Final() {
+		v.MustEndInS = remaining(j.Deadline)
 	}
 	if !js.job.Final() {
 		var in time.Duration
@@ -199,20 +199,20 @@
 
 // jobCounts counts the active jobs and shows those that have waited for longest.
 func (o *Owner) jobCounts(now time.Time) (counts protocol.JobCount, longest []protocol.JobView) {
-	counts = protocol.JobCount{Active: len(o.active), Waiting: map[string]int{}, AsksPending: len(o.unresolved), Unmoved: len(o.unarchived), Moves: o.startedMoves}
+	counts = protocol.JobCount{Active: len(o.active), Waiting: map[string]int{}, RequestsPending: len(o.unresolved), Unarchived: len(o.unarchived), Moves: o.startedMoves}
 	for _, n := range o.waitingForImage {
-		counts.Patient += n
+		counts.WaitingForImage += n
 	}
 	var waiting []*jobState
 	for _, js := range o.active {
 		if js.gainWindow != 0 {
 			counts.Owned++
 		}
-		if js.job.Needed || len(js.job.Spec.Needs) > 0 {
-			counts.Chained++
+		if js.job.HasDependents || len(js.job.Spec.Needs) > 0 {
+			counts.WithDependencies++
 		}
-		if js.job.Unclear {
-			counts.Unclear++
+		if js.job.NeedsUnknown {
+			counts.NeedsUnknown++
 		}
 		if reason, _ := o.waitReason(js, now); reason != "" {
 			counts.Waiting[reason]++
@@ -257,7 +257,7 @@
 	oldest, total := "", 0
 	var since time.Duration
 	for id, js := range o.active {
-		if js.gainWindow == 0 || js.job.Waits > 0 || now.Sub(js.readyAt) < standstillAfter || len(o.board.Tasks[id]) > 0 || js.job.DoneCount() > 0 {
+		if js.gainWindow == 0 || js.job.WaitingOn > 0 || now.Sub(js.readyAt) < standstillAfter || len(o.board.Tasks[id]) > 0 || js.job.DoneCount() > 0 {
 			continue
 		}
 		reason, _ := o.waitReason(js, now)
@@ -280,13 +280,13 @@
 	}
 }
 
-// noCapacityFor tells whether the cloud refused every kind of machine that the job may use, as far as this
+// noCapacityFor reports whether the cloud refused every kind of machine that the job may use, as far as this
 // controller knows: only the leader learns of refusals.
 func (o *Owner) noCapacityFor(s *protocol.JobSpec) bool {
 	return len(o.refusedKinds) > 0 && !o.obtainable(s, nil)
 }
 
-// obtainable tells whether the cloud may have machines for a job, other than of the excluded types.
+// obtainable reports whether the cloud may have machines for a job, other than of the excluded types.
 func (o *Owner) obtainable(s *protocol.JobSpec, excluded map[string]bool) bool {
 	return fleet.AnyRentable(o.machineTypes, s, func(k fleet.Kind) bool { return !excluded[k.Type] && !slices.Contains(o.refusedKinds, k) })
 }
--- a/internal/coordination/trace_faults_test.go
+++ b/internal/coordination/trace_faults_test.go
@@ -22,19 +22,19 @@
 // faultRandomMachines injects a fault into count running machines drawn at random (0: all), or ends it for
 // the machines drawn last. Which controllers restart, and when, determines how many machines that hung for a
 // while are given up; if too few machines run at the moment, the step waits until replacements are up.
-func (w *world) faultRandomMachines(count int, trouble emulator.Trouble) error {
+func (w *world) faultRandomMachines(count int, trouble emulator.MachineFault) error {
 	switch trouble {
-	case emulator.Hears, emulator.Speaks, emulator.Resumes, emulator.Rejoins:
+	case emulator.RestoreInbound, emulator.RestoreOutbound, emulator.Resume, emulator.Rejoin:
 		for _, id := range w.randomMachines {
-			w.em.Strike(id, trouble) // the machine may have been returned since
+			w.em.InjectFault(id, trouble) // the machine may have been returned since
 		}
 		return nil
 	}
-	for waited := time.Duration(0); w.em.Running() < count && waited < runningMachinesTimeout; waited += time.Second {
+	for waited := time.Duration(0); w.em.RunningMachines() < count && waited < runningMachinesTimeout; waited += time.Second {
 		time.Sleep(time.Second)
 	}
 	anyMachine := func(string, bool) bool { return true }
-	w.randomMachines = w.em.StrikeSome(cmp.Or(count, w.em.Running()), trouble, anyMachine)
+	w.randomMachines = w.em.InjectFaults(cmp.Or(count, w.em.RunningMachines()), trouble, anyMachine)
 	if count > 0 && len(w.randomMachines) != count {
 		return fmt.Errorf("%d machines", len(w.randomMachines))
 	}
@@ -43,9 +43,9 @@
 
 // faultMachinesOf injects a fault into all machines with tasks whose slots the controller holds when all
 // controllers are up.
-func (w *world) faultMachinesOf(controller string, trouble emulator.Trouble) error {
+func (w *world) faultMachinesOf(controller string, trouble emulator.MachineFault) error {
 	var ids []string
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		for _, job := range r.Running() {
 			for _, id := range r.Machines(job) {
 				home := w.names[ring.SlotOf(id, ring.SlotCount(len(w.names)))%len(w.names)]
@@ -60,7 +60,7 @@
 	}
 	var failed error
 	for _, id := range ids {
-		failed = errors.Join(failed, w.em.Strike(id, trouble))
+		failed = errors.Join(failed, w.em.InjectFault(id, trouble))
 	}
 	return failed
 }
@@ -68,11 +68,11 @@
 // cutController cuts the connections of a controller to the given peers, or ends all cuts.
 func (w *world) cutController(args []string) {
 	if args[0] == "off" {
-		w.net.Sever(func(string, string) bool { return false })
+		w.net.Partition(func(string, string) bool { return false })
 		return
 	}
 	name, what := args[0], args[2]
-	w.net.Sever(func(from, to string) bool {
+	w.net.Partition(func(from, to string) bool {
 		mine := from == name || strings.HasSuffix(to, "-"+name+":1")
 		other := to
 		if from != name {
@@ -89,7 +89,7 @@
 	isInside := func(host string) bool {
 		return host == controller || strings.HasPrefix(host, "host-") && w.em.ZoneOf(host) == zone
 	}
-	w.net.Sever(func(from, to string) bool {
+	w.net.Partition(func(from, to string) bool {
 		name := strings.TrimSuffix(to, ":1")
 		for _, role := range []string{"front-", "inner-", "worker-"} { // the services belong to no zone
 			name = strings.TrimPrefix(name, role)
@@ -102,11 +102,11 @@
 func (w *world) faultMachineOfTask(task, how string) error {
 	job, index, _ := protocol.SplitTask(task)
 	id := ""
-	w.em.Rules(func(r *history.Checker) { id = r.Machines(job)[index] })
-	if ends := emulator.Trouble(how); ends == emulator.Resumes || ends == emulator.Rejoins {
-		w.em.Strike(w.faulted[task], ends) // the machine may have been returned since
+	w.em.WithChecker(func(r *history.Checker) { id = r.Machines(job)[index] })
+	if ends := emulator.MachineFault(how); ends == emulator.Resume || ends == emulator.Rejoin {
+		w.em.InjectFault(w.faulted[task], ends) // the machine may have been returned since
 		return nil
 	}
 	w.faulted[task] = id
-	return w.em.Strike(id, emulator.Trouble(how))
+	return w.em.InjectFault(id, emulator.MachineFault(how))
 }
--- a/internal/coordination/trace_records_test.go
+++ b/internal/coordination/trace_records_test.go
@@ -15,7 +15,7 @@
 	return w.em.State.Edit(bookkeeping.Root+"s/", func(key string, value json.RawMessage, lease uint64) ([]protocol.Change, error) {
 		var rec bookkeeping.Slot
 		err := json.Unmarshal(value, &rec)
-		rec.Roster, rec.Listed = nil, false
+		rec.Roster, rec.RosterKnown = nil, false
 		return []protocol.Change{{Set: key, Value: rec, Lease: lease}}, err
 	})
 }
@@ -36,7 +36,7 @@
 // archiveRecord moves the record of a job to the archive of finished jobs, in the given state.
 func (w *world) archiveRecord(id, state string) error {
 	if state == protocol.Cancelled { // as if by its user
-		w.em.Note(history.Event{Kind: history.CancelAsked, Job: id})
+		w.em.RecordEvent(history.Event{Kind: history.CancelAsked, Job: id})
 	}
 	to := bookkeeping.Root + "z/" + id
 	for _, from := range []string{bookkeeping.Root + "j/" + id, to} {
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/trace_test.go
@@ -100,7 +100,7 @@
 	}
 	if c, any := w.slowestCancellation(); any {
 		t.Logf("slowest cancellation: %.2f of the time allowed; the tasks of %s were gone %v after its user was told, with %d starts after that",
-			float64(c.Lasted())/float64(cancelWithin), c.Job, c.Lasted().Round(time.Millisecond), c.StartedAfter)
+			float64(c.Duration())/float64(cancelWithin), c.Job, c.Duration().Round(time.Millisecond), c.StartedAfter)
 	}
 }
 
@@ -163,7 +163,7 @@
 			return err
 		}
 		c.Set = append(c.Set, a)
-		w.em.Rules(func(r *history.Checker) { r.LimitAccount(a.Name, -1) }) // no limit is checked until a step limit-holds sets one
+		w.em.WithChecker(func(r *history.Checker) { r.LimitAccount(a.Name, -1) }) // no limit is checked until a step limit-holds sets one
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -244,7 +244,7 @@
 		switch {
 		case !any:
 			err = errors.New("nothing was cancelled")
-		case err == nil && c.Lasted() > most:
+		case err == nil && c.Duration() > most:
 			err = fmt.Errorf("%+v", c)
 		}
 		return err
@@ -259,9 +259,9 @@
 		}
 		return err
 	case "cancel":
-		w.em.Note(history.Event{Kind: history.CancelAsked, Job: args[0]})
+		w.em.RecordEvent(history.Event{Kind: history.CancelAsked, Job: args[0]})
 		status, st := w.askUntilAnswered(http.MethodPost, "/v1/jobs/"+args[0]+"/cancel", []byte("{}"))
-		w.noteAnswer(history.CancelTold, args[0], status, st.Status)
+		w.noteAnswer(history.CancelAnswered, args[0], status, st.Status)
 		if status != 200 {
 			return fmt.Errorf("answer %d", status)
 		}
@@ -274,7 +274,7 @@
 		}
 	case "expect-on": // expect-on JOB N: N of its tasks are on machines; no controller is asked
 		on := 0
-		w.em.Rules(func(r *history.Checker) { on = len(r.Machines(args[0])) })
+		w.em.WithChecker(func(r *history.Checker) { on = len(r.Machines(args[0])) })
 		if strconv.Itoa(on) != args[1] {
 			return fmt.Errorf("%d tasks are on machines", on)
 		}
@@ -287,7 +287,7 @@
 		}
 	case "asks": // asks CONTROLLER PATH: sends a request and ignores the answer
 		w.call("user", http.MethodGet, "front-"+args[0]+args[1], nil, 2*time.Second)
-	case "unhealthy": // unhealthy CONTROLLER: it tells the load balancer to send no requests
+	case "unhealthy": // unhealthy CONTROLLER: its health check fails, so that the load balancer sends it no requests
 		status, _, err := w.call("user", http.MethodGet, "front-"+args[0]+"/healthz", nil, 2*time.Second)
 		if err == nil && status == 200 {
 			err = errors.New("the controller reports itself healthy")
@@ -300,7 +300,7 @@
 		}
 	case "lags": // lags CONTROLLER TIME: it receives changes of records later by TIME
 		lag, err := time.ParseDuration(args[1])
-		w.em.State.Lag(args[0], lag)
+		w.em.State.DelayWatches(args[0], lag)
 		return err
 	case "uses": // uses ACCOUNT N: the tasks of the account use N CPUs
 		use := w.cpusUsed(args[0])
@@ -315,7 +315,7 @@
 		}
 	case "limit-holds": // limit-holds ACCOUNT N: from now on the account may use at most N CPUs
 		n, err := strconv.ParseFloat(args[1], 64)
-		w.em.Rules(func(r *history.Checker) { r.LimitAccount(args[0], n) })
+		w.em.WithChecker(func(r *history.Checker) { r.LimitAccount(args[0], n) })
 		if use := w.cpusUsed(args[0]); use > n+1e-6 {
 			return fmt.Errorf("uses %v", use)
 		}
@@ -346,7 +346,7 @@
 	case "limits": // limits VALUE_KB TXN_OPS WRITE_RPS: limits of the state service from now on
 		var l emulator.Limits
 		_, err := fmt.Sscan(strings.Join(args, " "), &l.ValueKB, &l.TxnOps, &l.WriteRPS)
-		w.em.State.Limit(l)
+		w.em.State.SetLimits(l)
 		return err
 	case "malformed": // malformed N: the state service has rejected at most N requests as malformed
 		n, err := strconv.Atoi(args[0])
@@ -359,31 +359,31 @@
 	case "start":
 		w.start(args...)
 	case "state-outage":
-		w.em.State.Outage(isOn(args))
+		w.em.State.SetOutage(isOn(args))
 	case "state-slow": // state-slow TIME: its answers take TIME; 0s ends it
 		by, err := time.ParseDuration(args[0])
-		w.em.State.Slow(by)
+		w.em.State.DelayAnswers(by)
 		return err
 	case "state-late": // state-late TIME: transactions are carried out later by TIME and get no answer; 0s ends it
 		by, err := time.ParseDuration(args[0])
-		w.em.State.Late(by)
+		w.em.State.DelayTransactions(by)
 		return err
 	case "state-unheard": // state-unheard SHARE: for this share of transactions the answer is lost after they were carried out; 0 ends it
 		share, err := strconv.ParseFloat(args[0], 64)
-		w.em.State.Unheard(share)
+		w.em.State.DropAnswers(share)
 		return err
 	case "loses-answer": // loses-answer CONTROLLER PREFIX: the answer to its next change of a record with the prefix is lost after the change was carried out
-		w.em.State.LoseNext(args[0], bookkeeping.Root+args[1])
+		w.em.State.DropNextAnswer(args[0], bookkeeping.Root+args[1])
 	case "late-commands": // late-commands SHARE: this share of direct commands is delayed by seconds and gets no answer; 0 ends it
 		share, err := strconv.ParseFloat(args[0], 64)
-		w.em.HoldCommands(share)
+		w.em.DelayCommands(share)
 		return err
 	case "reports-kept": // reports-kept on|off: a copy of the next report of each machine is kept; off sends all copies to every controller
-		w.em.KeepReports(isOn(args))
+		w.em.ReplayReports(isOn(args))
 	case "state-refuses":
-		w.em.State.Refuse(args[0], isOn(args))
+		w.em.State.SetRefused(args[0], isOn(args))
 	case "renewals-refused": // renewals-refused CONTROLLER on|off: renewals of its session are refused for the rate; all else is served
-		w.em.State.Starve(args[0], isOn(args))
+		w.em.State.RefuseRenewals(args[0], isOn(args))
 	case "older-records": // removes what versions without rosters do not write
 		return w.dropRosters()
 	case "older": // older CONTROLLER: gives its session the form of the version before chains
@@ -394,13 +394,13 @@
 		return w.archiveRecord(args[0], args[1])
 	case "boots": // boots FACTOR: machines rented from now on boot slower by this factor; 0: at once
 		factor, err := strconv.ParseFloat(args[0], 64)
-		w.em.Boots(factor)
+		w.em.SetBootFactor(factor)
 		return err
 	case "cloud-outage":
-		w.em.CloudOutage(isOn(args))
+		w.em.SetCloudOutage(isOn(args))
 	case "capacity":
 		n, err := strconv.Atoi(args[0])
-		w.em.Capacity(n)
+		w.em.SetCapacity(n)
 		return err
 	case "cut-zone": // cut-zone ZONE CONTROLLER: isolates the machines of a zone together with this controller; cut off ends it
 		w.cutZone(args[0], args[1])
@@ -408,7 +408,7 @@
 		w.cutController(args)
 	case "rented": // rented N: at most N machines have been rented so far
 		n, err := strconv.Atoi(args[0])
-		if made := w.em.Made(); made > n {
+		if made := w.em.MachinesRented(); made > n {
 			return fmt.Errorf("%d machines were rented", made)
 		}
 		return err
@@ -419,12 +419,12 @@
 		if err != nil {
 			return err
 		}
-		return w.faultRandomMachines(count, emulator.Trouble(args[1]))
+		return w.faultRandomMachines(count, emulator.MachineFault(args[1]))
 	case "machines-of": // machines-of CONTROLLER mutes|speaks|...: all machines with tasks in slots that the controller holds when all are up
-		return w.faultMachinesOf(args[0], emulator.Trouble(args[1]))
+		return w.faultMachinesOf(args[0], emulator.MachineFault(args[1]))
 	case "echoes": // echoes TIME: a copy of each report arrives later by TIME; 0s ends it
 		by, err := time.ParseDuration(args[0])
-		w.em.Echo(by)
+		w.em.DuplicateReports(by)
 		return err
 	default:
 		return fmt.Errorf("unknown verb %s", verb)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -44,7 +44,7 @@
 	if known != nil && known.Final() {
 		return k.confirmedStatus(ctx, &jobStatus{job: known})
 	}
-	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshWithin)
+	ctx, cancel := context.WithTimeout(ctx, bookkeeping.FreshTimeout)
 	defer cancel()
 	if known == nil {
 		found, err := k.reader.Find(ctx, id)
@@ -56,11 +56,11 @@
 		}
 		return k.confirmedStatus(ctx, &jobStatus{job: found})
 	}
-	if err := k.reader.Fresh(ctx); err != nil {
+	if err := k.reader.WaitFresh(ctx); err != nil {
 		return nil, err
 	}
 	st := k.owner.Status(ctx, id)
-	if st == nil || st.job.Unclear {
+	if st == nil || st.job.NeedsUnknown {
 		// Either the job ended and is no longer kept in memory, or a job that it needs ended and whether that
 		// one was cancelled is still being looked up.
 		return nil, ErrRetryLater
@@ -174,7 +174,7 @@
 		return err
 	}
 	for _, t := range k.catalog.Load().Types {
-		if !t.Takes(s) {
+		if !t.CanRun(s) {
 			continue
 		}
 		for _, z := range t.Zones {
--- a/internal/coordination/watermark_test.go
+++ b/internal/coordination/watermark_test.go
@@ -80,7 +80,7 @@
 		w.entries["wk-3/1"] = &entry{task: "wk-3/1", job: "wk-3", index: 1, attempt: 3, state: board.TaskStarting, startToken: protocol.NewToken(7, w.tokenSeq)}
 		inFlight := protocol.NewToken(7, w.tokenSeq)
 		cancelled := *h.jobs["wk-1"]
-		cancelled.Record, cancelled.State = protocol.Cancelled, protocol.Cancelled
+		cancelled.RecordedState, cancelled.State = protocol.Cancelled, protocol.Cancelled
 		h.jobChanged(&cancelled)
 		h.observeCancellationReport("c1", &PromiseReply{Cancelled: []string{"wk-3"}}, time.Now(), membership.MoratoriumDuration)
 		status, body := h.Report(runningReport(6, protocol.NewToken(7, 1), "wk-1/0", "wk-2/0"))
@@ -140,7 +140,7 @@
 				h.requestMoratorium(time.Now())
 			}
 		}
-		if advance(2 * c.RenewFor()); !h.mayAnswer() || h.session.Valid() || len(sibling.requests) < 10 {
+		if advance(2 * c.MaxRenewalStaleness()); !h.mayAnswer() || h.session.Valid() || len(sibling.requests) < 10 {
 			t.Errorf("no longer answers despite complete reports, or sent too few requests: %d", len(sibling.requests))
 		}
 		if lag := time.Since(h.watermark.Time()); lag > 2*time.Second {
@@ -156,13 +156,13 @@
 		advance(membership.MoratoriumDuration + 3*time.Second)
 		setSessionLeft(time.Hour) // as if its session were renewed but nothing else were served
 		sibling.reply = PromiseReply{Given: true, AgeMs: 100, Whole: true}
-		if advance(c.RenewFor()); h.mayAnswer() {
+		if advance(c.MaxRenewalStaleness()); h.mayAnswer() {
 			t.Error("still answers on the basis of a report by a process that does not know its predecessor's cancellations")
 		}
 		// The previous version names no cancellations.
 		h.synced(time.Now())
 		sibling.reply = PromiseReply{Given: true}
-		if advance(c.RenewFor() + 2*time.Second); h.mayAnswer() {
+		if advance(c.MaxRenewalStaleness() + 2*time.Second); h.mayAnswer() {
 			t.Error("still answers without a report")
 		}
 	})
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -48,8 +48,8 @@
 // slowestCancellation returns the cancelled job whose tasks remained longest so far, if any user was told of
 // a cancellation.
 func (w *world) slowestCancellation() (slowest history.Cancellation, any bool) {
-	w.em.Rules(func(*history.Checker) {
-		if all := w.cancellations.At(w.em.Since()); len(all) > 0 {
+	w.em.WithChecker(func(*history.Checker) {
+		if all := w.cancellations.Snapshot(w.em.Elapsed()); len(all) > 0 {
 			slowest, any = all[0], true
 		}
 	})
@@ -71,7 +71,7 @@
 	var err error
 	w.em, err = emulator.New(ctx, w.net, emulator.Setup{Controllers: w.names, Capacity: 30, State: stateLimits,
 		Record: func(e history.Event) {
-			w.cancellations.Note(e)
+			w.cancellations.Observe(e)
 			if w.onEvent != nil {
 				w.onEvent(e)
 			}
@@ -87,8 +87,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.em.State.Pages(40) // small pages, so that paging is tested
-	w.em.Fronts(fronts)
+	w.em.State.SetPageSize(40) // small pages, so that paging is tested
+	w.em.SetControllerAddrs(fronts)
 	w.start(w.names...)
 	return w
 }
@@ -170,9 +170,9 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		for _, a := range c.Quotas.Accounts() {
-			if _, known := r.Limit(a.Name); !known && a.Limit.Cores > 0 {
+			if _, known := r.AccountLimit(a.Name); !known && a.Limit.Cores > 0 {
 				r.LimitAccount(a.Name, a.Limit.Cores)
 			}
 		}
@@ -183,13 +183,13 @@
 // start starts controllers as main does.
 func (w *world) start(names ...string) {
 	for _, name := range names {
-		w.startOne(name)
+		w.startController(name)
 	}
 }
 
-func (w *world) startOne(name string) {
+func (w *world) startController(name string) {
 	c := w.loadSettings(name)
-	kill, err := w.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
+	kill, err := w.net.StartController(name, func(ctx context.Context, front, inner net.Listener) {
 		NewController(ctx, c, w.net.Dialer(name)).Serve(ctx, front, inner, 100)
 	})
 	if err != nil {
@@ -206,7 +206,7 @@
 
 // shutDown ends the world and reports each violation of the safety rules.
 func (w *world) shutDown() {
-	w.em.Rules(func(r *history.Checker) {
+	w.em.WithChecker(func(r *history.Checker) {
 		for _, v := range r.Violations() {
 			w.t.Error(v)
 		}
@@ -214,15 +214,15 @@
 	for _, stop := range w.kill {
 		stop()
 	}
-	w.em.End()
-	w.net.Sever(func(string, string) bool { return true })
+	w.em.Close()
+	w.net.Partition(func(string, string) bool { return true })
 	w.cancel()
 	time.Sleep(30 * time.Second) // time for all goroutines to notice and end
 }
 
 // noteAnswer records the answer that a user got, for the checker.
 func (w *world) noteAnswer(kind history.Kind, job string, status int, answer string) {
-	w.em.Note(history.Event{Kind: kind, Job: job, Code: status, Status: answer})
+	w.em.RecordEvent(history.Event{Kind: kind, Job: job, Code: status, Status: answer})
 }
 
 // call makes one request over the in-memory network.
--- a/internal/lab/launcher.go
+++ b/internal/lab/launcher.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return err
 	}
-	h.stops[name], err = h.net.Host(name, func(ctx context.Context, front, inner net.Listener) {
-		coordination.NewController(ctx, c, h.net.Dialer(name)).Serve(ctx, front, inner, c.Connections())
+	h.stops[name], err = h.net.StartController(name, func(ctx context.Context, front, inner net.Listener) {
+		coordination.NewController(ctx, c, h.net.Dialer(name)).Serve(ctx, front, inner, c.MaxFrontConnections())
 	})
 	return err
 }
@@ -194,9 +194,9 @@
 	}
 }
 
-// Up is a deployment running on this machine: the emulated world in this process, each controller in a
-// process of its own.
-type Up struct {
+// LocalDeployment is a deployment running on this machine: the emulated world in this process, each controller
+// in a process of its own.
+type LocalDeployment struct {
 	// Address is the address of the gateway, which forwards to the load balancer.
 	Address     string
 	Addresses   Addresses
@@ -208,8 +208,8 @@
 	cancel      context.CancelFunc
 }
 
-// UpOptions are the options of BringUp.
-type UpOptions struct {
+// LocalOptions are the options of StartLocal.
+type LocalOptions struct {
 	// Program is the path of the controllers' program; Settings is the operators' settings file, "" for none.
 	Program, Settings string
 	// Dir holds the settings, the logs and, if Keep is set, the state of the state service.
@@ -221,10 +221,10 @@
 	Exited func(name string, err error)
 }
 
-// BringUp starts a deployment on loopback.
-func BringUp(ctx context.Context, d Deployment, o UpOptions) (up *Up, err error) {
+// StartLocal starts a deployment on loopback.
+func StartLocal(ctx context.Context, d Deployment, o LocalOptions) (up *LocalDeployment, err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	up = &Up{cancel: cancel, controllers: d.Controllers}
+	up = &LocalDeployment{cancel: cancel, controllers: d.Controllers}
 	defer func() {
 		if err != nil {
 			up.Close()
@@ -250,7 +250,7 @@
 	if err != nil {
 		return up, err
 	}
-	up.World.Fronts(up.Addresses.Front)
+	up.World.SetControllerAddrs(up.Addresses.Front)
 	up.launcher = &processLauncher{program: o.Program, files: up.Files, operatorSettings: o.Settings, logs: o.Dir, running: map[string]*process{}, exited: o.Exited}
 	for _, name := range d.Controllers {
 		if err = up.launcher.start(name); err != nil {
@@ -275,7 +275,7 @@
 }
 
 // Ready waits until every controller accepts requests.
-func (up *Up) Ready(ctx context.Context) error {
+func (up *LocalDeployment) Ready(ctx context.Context) error {
 	for {
 		if len(up.balancer.Healthy()) == len(up.controllers) {
 			return nil
@@ -289,12 +289,12 @@
 }
 
 // Close stops the controllers and the emulated world.
-func (up *Up) Close() {
+func (up *LocalDeployment) Close() {
 	if up.launcher != nil {
 		up.launcher.stop()
 	}
 	if up.World != nil {
-		up.World.End()
+		up.World.Close()
 	}
 	up.cancel()
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -117,7 +117,7 @@
 	}
 	s, err := execute(ctx, e, r.Version.Path, r.Seed, dir, w.Write, progress)
 	if err != nil {
-		w.Abandon()
+		w.Discard()
 		return err
 	}
 	if err := w.Close(s.Length); err != nil {
@@ -169,7 +169,7 @@
 	}
 	shutDown := func() {
 		bed.launcher.stop()
-		bed.world.End()
+		bed.world.Close()
 		cancel()
 		if !e.RealTime {
 			time.Sleep(settleTime) // goroutines notice the shutdown and return
@@ -180,7 +180,7 @@
 		if err := bed.launcher.start(name); err != nil {
 			return summary, err
 		}
-		bed.world.Note(history.Event{Kind: history.NodeUp, Node: name})
+		bed.world.RecordEvent(history.Event{Kind: history.NodeUp, Node: name})
 	}
 	users, stopUsers := context.WithCancel(ctx)
 	defer stopUsers()
@@ -191,9 +191,9 @@
 	length := e.Length + e.Rest
 	var violations []history.Violation
 	var longestUnanswered time.Duration
-	bed.world.Rules(func(r *history.Checker) {
-		r.End(bed.world.Since())
-		violations, longestUnanswered = r.Violations(), r.Unanswered()
+	bed.world.WithChecker(func(r *history.Checker) {
+		r.End(bed.world.Elapsed())
+		violations, longestUnanswered = r.Violations(), r.LongestUnanswered()
 		finished = true
 	})
 	summary, err = meter.Summary()
@@ -240,7 +240,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bed.world.Fronts(bed.addresses.Front)
+	bed.world.SetControllerAddrs(bed.addresses.Front)
 	bed.dial = network.Dialer(usersHost)
 	if !e.RealTime {
 		bed.launcher = &inProcessLauncher{net: bed.pipes, files: files, stops: map[string]func(){}}
@@ -252,7 +252,7 @@
 		}
 	}
 	bed.launcher = &processLauncher{program: program, files: files, logs: dir, running: map[string]*process{}, exited: func(name string, err error) {
-		bed.world.Note(history.Event{Kind: history.NodeDown, Node: name, Cause: fmt.Sprint("ended by itself: ", err)})
+		bed.world.RecordEvent(history.Event{Kind: history.NodeDown, Node: name, Cause: fmt.Sprint("ended by itself: ", err)})
 		slog.Error("controller exited unexpectedly", "name", name, "err", err)
 	}}
 	return bed, nil
@@ -275,7 +275,7 @@
 	}
 	var failed error
 	injector := &faultInjector{deployment: bed.deployment, world: bed.world, net: bed.pipes, launcher: bed.launcher, active: map[string]int{}, cuts: map[string]func(string, string) bool{},
-		note: bed.world.Note, fail: func(err error) { failed = errors.Join(failed, err) }, rng: randomSource(seed, "faults"),
+		note: bed.world.RecordEvent, fail: func(err error) { failed = errors.Join(failed, err) }, rng: randomSource(seed, "faults"),
 		cancel: func(job string) {
 			u := &user{plannedJob: plannedJob{spec: &protocol.JobSpec{ID: job}}, http: client, world: bed.world, rng: randomSource(seed, "cancels "+job)}
 			go u.cancel(ctx)
--- a/internal/membership/watermark_test.go
+++ b/internal/membership/watermark_test.go
@@ -20,7 +20,7 @@
 	maxAge          = 16 // greatest age that is distinguished; states with greater ages are not explored
 	never           = int8(-1)
 	maxLagTicks     = 12 // ticks
-	ackTimeoutTicks = 5  // ticks that a version which waits for acknowledgements waits for them
+	ackTimeoutTicks = 5  // ticks after which a version that waits for acknowledgements stops waiting
 )
 
 // reportRequest is a request of the holder for a sibling's report, and its reply.
@@ -164,11 +164,11 @@
 		}
 	}
 	add(func(c *watermarkModel) { c.advance(n) })
-	for _, away := range []bool{true, false} { // the service is unavailable to all or to none; below, to the holder or one sibling alone
+	for _, unavailable := range []bool{true, false} { // the service is unavailable to all or to none; below, to the holder or one sibling alone
 		add(func(c *watermarkModel) {
-			c.served = !away
+			c.served = !unavailable
 			for k := range n {
-				c.siblings[k].served = !away
+				c.siblings[k].served = !unavailable
 			}
 		})
 	}
--- a/internal/placement/machine_reservation.go
+++ b/internal/placement/machine_reservation.go
@@ -9,8 +9,8 @@
 )
 
 // MachinesToReserve selects the machines, one for each task of a gang, on which room is to be reserved as it
-// comes free; nil if there are not enough. It prefers those that lack least room, and counts as coming free
-// only the room of tasks that end by themselves (estimate gives their run time; services never end).
+// comes free; nil if there are not enough. It prefers the machines that lack the least room. Only tasks that
+// end by themselves count as freeing room (estimate gives their run time; services never end).
 func (p *Placer) MachinesToReserve(machines []*board.Machine, tasks int, estimate func(*board.Instance) RunEstimate) []*board.Machine {
 	need := p.Spec.Need()
 	type candidate struct {
@@ -32,7 +32,7 @@
 		}
 		if freeAfter.Fits(need) {
 			shortfall := protocol.Room{Cores: max(0, need.Cores-free.Cores), Accels: max(0, need.Accels-free.Accels), RAM: max(0, need.RAM-free.RAM)}
-			candidates = append(candidates, candidate{m, shortfall.Share(t.Room())})
+			candidates = append(candidates, candidate{m, shortfall.DominantShare(t.Room())})
 		}
 	}
 	if len(candidates) < tasks {
@@ -43,7 +43,7 @@
 	})
 	out := make([]*board.Machine, 0, tasks)
 	for _, c := range candidates {
-		if p.Spec.Scatter && p.TasksByZone[c.m.Zone] >= p.Spec.ZoneShare() {
+		if p.Spec.Scatter && p.TasksByZone[c.m.Zone] >= p.Spec.MaxPerZone() {
 			continue
 		}
 		p.TasksByZone[c.m.Zone]++
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -30,13 +30,14 @@
 	// MachinesComing reports whether machines that fit are booting, and in how long the first is ready,
 	// negative if that is not known.
 	MachinesComing func() (ready time.Duration, coming bool)
-	// PlaceableFor is for how long the job could have been placed.
+	// PlaceableFor is how long the job has been ready to be placed.
 	PlaceableFor time.Duration
 	// CloudRefused reports whether the cloud has no machine that fits.
 	CloudRefused func() bool
 }
 
-// AddInstances takes in which of a job's tasks are on machines; done reports which tasks are done.
+// AddInstances updates Missing, WaitsForGang and FetchTimeLeft by the job's tasks on machines; done reports which
+// tasks are done.
 func (w *JobWait) AddInstances(instances map[int][]*board.Instance, done func(index int) bool, types map[string]protocol.MachineType, imageGB float64, now time.Time) {
 	w.FetchTimeLeft = -1
 	for index, list := range instances {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -244,7 +244,7 @@
 		if err != nil {
 			t.Fatalf("the linear program fails: %v", err)
 		}
-		// Shares that the level holds at their Max are fixed there. If there are none, the capacity is used
+		// The shares that reach their Max at this level are fixed there. If none does, the capacity is used
 		// up, and all shares are final.
 		atMax := false
 		for i, p := range participants {
@@ -342,7 +342,7 @@
 	return ok(use.Cores, protected.Cores, limit.Cores) && ok(use.Accels, protected.Accels, limit.Accels)
 }
 
-// TestReclaim checks that a claim within its guarantee takes back borrowed use: workloads of a lower priority
+// TestReclaim checks that a claim within its guarantee reclaims borrowed use: workloads of a lower priority
 // in accounts beyond their guarantee stop, no more of them than needed, and none in accounts within their
 // guarantee.
 func TestReclaim(t *testing.T) {
