--- a/internal/bookkeeping/dependencies.go
+++ b/internal/bookkeeping/dependencies.go
@@ -14,7 +14,7 @@
 
 // Urgency is how urgently a job has to end.
 type Urgency struct {
-	Rank int // of the job's priority
+	Rank int // rank of the job's priority
 	// Filler: nobody waits for the job.
 	Filler bool
 	// Deadline is when the job has to be over, zero if it has no deadline.
@@ -24,7 +24,7 @@
 // DependencyState is what follows for a job from the jobs that it needs and from those that need it.
 type DependencyState struct {
 	// WaitingOn is the number of needed jobs that are not known to be done, plus one while the job is held
-	// or delayed. NeedsUnknown: this controller knows nothing at all about some of them.
+	// or delayed. NeedsUnknown: the state of at least one needed job is unknown to this controller.
 	WaitingOn    int
 	NeedsUnknown bool
 	// Ready is when the last needed job ended, at the earliest when the job was accepted; zero while the job
@@ -34,7 +34,7 @@
 	CancelledWith string
 	// Urgency is the job's own, or that of unfinished jobs that need it.
 	Urgency
-	// HasDependents: at least one job names this one as needed and its own record is not final yet.
+	// HasDependents: at least one job whose own record is not final names this one as needed.
 	HasDependents bool
 	// WaitsFor are some of the jobs that this one waits for, NeededBy some of those that wait for it.
 	WaitsFor, NeededBy []string
@@ -43,7 +43,7 @@
 // maxListedJobs limits the jobs listed in WaitsFor and in NeededBy.
 const maxListedJobs = 16
 
-// Further states of a job that another one names.
+// Further values of node.state, for jobs that others name but that have no known record.
 const (
 	stateUnknown       = ""      // this replica knows nothing about the job
 	stateNeverAccepted = "never" // the job was never accepted: the record that names it is invalid
@@ -192,7 +192,7 @@
 	}
 }
 
-// countNeed updates the counters of n for the current state of a job that it needs.
+// countNeed marks n as changed and, if the given needed job is done, counts that need as met.
 func (g *dependencyGraph) countNeed(n, need *node) {
 	if need.state == protocol.Done {
 		n.unmet--
--- a/internal/bookkeeping/quotas.go
+++ b/internal/bookkeeping/quotas.go
@@ -13,9 +13,9 @@
 	"daledyke/internal/transport"
 )
 
-// Quota accounts that operators changed at run time. The accounts are stored in parts, which are written
-// first. The record that names the parts is then changed conditionally on its version, so that a change of
-// any number of accounts is atomic.
+// This file stores the quota accounts that operators changed at run time. The accounts are split into parts,
+// which are written first. The record that names the parts is then changed conditionally on its version, so
+// that a change of any number of accounts is atomic.
 
 // Quotas are the quota accounts as last set.
 type Quotas struct {
@@ -73,8 +73,8 @@
 	if seen != nil {
 		next.Revision, cond.Version = seen.Revision+1, seen.Version
 	}
-	// Revisions never share parts. Parts of a former revision are dropped unconditionally, and a delayed drop
-	// may be applied after the same accounts are set again.
+	// The revision in the key keeps revisions from sharing parts. Parts of a former revision are dropped
+	// unconditionally, and a delayed drop would destroy shared parts after the same accounts are set again.
 	sum = fmt.Sprintf("%s-%d", sum, next.Revision)
 	next.Sum = sum
 	var then []protocol.Change
@@ -112,7 +112,7 @@
 	publishedVersion uint64 // version of the last record returned
 }
 
-// addPart takes in a part.
+// addPart adds or drops the part that is stored under a key.
 func (p *quotaAssembler) addPart(key string, raw json.RawMessage, dropped bool) {
 	if p.parts == nil {
 		p.parts = map[string][]byte{}
--- a/internal/bookkeeping/replica.go
+++ b/internal/bookkeeping/replica.go
@@ -26,8 +26,8 @@
 	MachineChanged(id string, m *Machine)
 	CatalogChanged(*protocol.Catalog)
 	QuotasChanged(*Quotas)
-	// Synced: the replica has applied all changes up to now, the time at which the request was sent that
-	// confirmed it.
+	// Synced: the replica has applied all changes made before now, which is the time at which the last
+	// successful read of the changes was sent.
 	Synced(now time.Time)
 }
 
--- a/internal/bookkeeping/sizes.go
+++ b/internal/bookkeeping/sizes.go
@@ -158,9 +158,9 @@
 // ---- rosters
 
 // packRoster converts the roster of a slot's record to a form that takes some 1.5 bytes a machine, if the
-// usual form is too large. Versions that don't know job dependencies don't know the packed form either: to
-// them no roster was kept, and they wait until everything that may run there has surely lapsed. Once no such
-// version runs, the packed form can be the only one.
+// usual form is too large. Versions that don't know job dependencies don't know the packed form either: they
+// treat the roster as unknown, and wait until the leases of all tasks that may run there have surely lapsed.
+// Once no such version runs, the packed form can be the only one.
 func (s *Store) packRoster(rec Slot) Slot {
 	if s.fits(rec) {
 		return rec
--- a/internal/bookkeeping/stale_writes_test.go
+++ b/internal/bookkeeping/stale_writes_test.go
@@ -40,8 +40,9 @@
 	return NewStore(transport.NewState(transport.NetDialer(), strings.TrimPrefix(srv.URL, "http://"), 10_000, 10_000), limits.TxnOps, int(limits.ValueKB*1024))
 }
 
-// Accounts that are set, replaced and set again must survive when the drop of their first parts is applied late.
-// This failed when equal accounts were stored in the same parts both times.
+// Accounts are set, replaced, and set to the first value again. They must survive if the drop of the parts of
+// the first revision is applied only then. This failed when equal accounts had the same part keys in every
+// revision.
 func TestAccountsSurviveDelayedDrop(t *testing.T) {
 	transactionsLeft := 1000
 	st := newEmulatedStore(t, &transactionsLeft)
@@ -142,7 +143,7 @@
 	must(err)
 	st.Record(ctx, transport.Ordinary, []Outcome{{Job: seen, Tasks: []int{0}}})
 	st.Record(ctx, transport.Ordinary, []Outcome{{Job: seen, Tasks: []int{1}}})       // based on the version from before the first result
-	st.Record(ctx, transport.Ordinary, []Outcome{{Job: seen, Tasks: []int{0, 1, 2}}}) // would end the job, based on the same version
+	st.Record(ctx, transport.Ordinary, []Outcome{{Job: seen, Tasks: []int{0, 1, 2}}}) // also based on that version; it would end the job
 	chunk, _, err := get[chunkRecord](ctx, st, transport.Ordinary, time.Second, resultKey("wk-1", 0))
 	must(err)
 	if chunk == nil || !bytes.Equal(chunk.Bits, []byte{1}) {
--- a/internal/bookkeeping/store.go
+++ b/internal/bookkeeping/store.go
@@ -28,8 +28,8 @@
 // kindStats counts the requested changes of one kind of record and remembers the last rejected value.
 type kindStats struct {
 	requested atomic.Int64
-	// rejectedSize is the size of the largest value in a transaction that the state service rejected as
-	// malformed; rejectedAtMs is when that happened.
+	// rejectedSize is the size of the largest value in the last rejected transaction; rejectedAtMs is when
+	// it was rejected.
 	rejectedSize, rejectedAtMs atomic.Int64
 }
 
--- a/internal/bookkeeping/store_slots.go
+++ b/internal/bookkeeping/store_slots.go
@@ -104,8 +104,8 @@
 	return w, err
 }
 
-// Claim is a slot to be taken: the last seen record (nil: none) and, if the former holder must have no session,
-// the condition that verifies this.
+// Claim is a slot to be taken. Seen is the slot's last seen record (nil: none). Former and FormerVersion are a
+// condition on the former holder's session; an empty Former means that there is no condition.
 type Claim struct {
 	Slot int
 	Seen *Slot
--- a/internal/history/cancellations.go
+++ b/internal/history/cancellations.go
@@ -26,8 +26,8 @@
 	// Remaining is the number of tasks that are still on machines.
 	Remaining int `json:"remaining,omitempty"`
 	// StartedAfter counts the start commands for the job's tasks that were carried out after the answer,
-	// SentAfter those of them that were also sent after it. LastStart is the time from the answer to the
-	// last of them.
+	// SentAfter those that were also sent after it. LastStart is the time from the answer until the last
+	// start command was carried out, 0 if none was.
 	StartedAfter int           `json:"startedAfter,omitempty"`
 	SentAfter    int           `json:"sentAfter,omitempty"`
 	LastStart    time.Duration `json:"lastStart,omitempty"`
--- a/internal/history/rules.go
+++ b/internal/history/rules.go
@@ -72,9 +72,9 @@
 	attempts        map[int][]attempt // attempts that received a start command and have not ended, by task
 	zones           map[string]int
 	starts          int
-	unansweredSince time.Duration // time of the first unanswered poll, -1 if the last poll was answered
-	answeredBefore  int           // answered polls of all jobs at that time
-	failedBefore    int           // failed polls of all jobs at that time
+	unansweredSince time.Duration // time of the first poll that failed, or of a later violation; -1 if the last poll was answered
+	answeredBefore  int           // answered polls of all jobs when this job's polls began to fail
+	failedBefore    int           // failed polls of all jobs at the same time
 }
 
 // attempt is an attempt to run a task on a machine.
@@ -103,7 +103,7 @@
 	// active until it ends, a stopped controller until it is up again.
 	activeFaults      map[string]int
 	faultFreeSince    time.Duration
-	longestUnanswered time.Duration // longest time without an answer about one job since then
+	longestUnanswered time.Duration // longest time without an answer about one job, counted from faultFreeSince
 }
 
 // NewChecker returns a checker of the rules for a deployment.
--- a/internal/history/rules_answers.go
+++ b/internal/history/rules_answers.go
@@ -72,7 +72,7 @@
 	return false
 }
 
-// polled tracks how long polls for a job fail.
+// polled processes the answer to a status poll and checks how long polls for the job have failed.
 func (c *Checker) polled(j *job, e Event) {
 	if j.accepted && j.unansweredSince >= 0 && len(c.activeFaults) == 0 {
 		c.longestUnanswered = max(c.longestUnanswered, e.At-max(j.unansweredSince, c.faultFreeSince))
@@ -89,7 +89,7 @@
 		j.unansweredSince, j.answeredBefore, j.failedBefore = e.At, c.answered, c.failed
 	case e.At-j.unansweredSince > unanswered && c.answered-j.answeredBefore > c.failed-j.failedBefore:
 		c.violate(Forgotten, "no poll for %s is answered for %v, while most others are", e.Job, e.At-j.unansweredSince)
-		j.unansweredSince = e.At // report again only after the same interval
+		j.unansweredSince = e.At // repeat the violation only after the same interval
 	case !j.cancelAsked && len(c.activeFaults) == 0 && e.At-max(j.unansweredSince, c.faultFreeSince) > unansweredNoFaults:
 		c.violate(Forgotten, "no poll for %s is answered for %v, and nothing is amiss", e.Job, e.At-max(j.unansweredSince, c.faultFreeSince))
 		j.unansweredSince = e.At
--- a/internal/history/served.go
+++ b/internal/history/served.go
@@ -10,17 +10,17 @@
 	"daledyke/internal/protocol"
 )
 
-// Unserved is the name of the rule that an experiment violates if less than a stated share is served of a
-// class of jobs, of a team's work or of a class's largest jobs, or if less than that share of a class's
-// largest jobs begin within BeginWithin.
+// Unserved is the name of the rule that sets a minimum share for an experiment. It is violated if the served
+// share of a class, of a team or of a class's largest jobs is below the minimum, or the share of a class's
+// largest jobs that begin within BeginWithin.
 const Unserved = "unserved"
 
 // BeginWithin is the time from submission within which one of a class's largest jobs has to begin.
 const BeginWithin = 4 * time.Minute
 
-// servedAfter is the delay from submission after which a service's replicas count as wanted, and the least
-// age at the end of any other job that counts: machines have to boot and images to be fetched before any
-// job can be served.
+// servedAfter is the time allowed for machines to boot and for images to be fetched. A service's replicas count
+// as wanted only from that time after submission on; other jobs count only if they were submitted at least
+// that long before the time of evaluation.
 const servedAfter = time.Minute
 
 // Served computes the share of each class's and each team's work that is served, from events that come in
@@ -48,7 +48,7 @@
 	began       time.Duration
 	needed      int // number of tasks that began requires
 	done        map[int]bool
-	replicaTime time.Duration // replica time that counts
+	replicaTime time.Duration // sum of the wanted times of replicas that have stopped
 	refused     bool          // permanently refused
 }
 
@@ -121,7 +121,8 @@
 	replicas, ran  time.Duration
 	tasks, started int
 	jobs, done     int
-	// Jobs that had time to begin, and those that began within BeginWithin.
+	// due counts the jobs that began within BeginWithin or had that much time to begin; began counts those
+	// that began within BeginWithin.
 	due, began int
 }
 
