--- a/internal/bookkeeping/publish.go
+++ b/internal/bookkeeping/publish.go
@@ -103,7 +103,7 @@
 		oldest := r.finished[0]
 		r.finished = r.finished[1:]
 		if j := r.jobs[oldest]; j != nil && j.HasDependents {
-			r.finished = append(r.finished, oldest) // the listener must hear when no job needs it any more
+			r.finished = append(r.finished, oldest) // the listener must be notified when no job needs it any more
 			continue
 		}
 		delete(r.jobs, oldest)
--- a/internal/bookkeeping/reader.go
+++ b/internal/bookkeeping/reader.go
@@ -7,8 +7,8 @@
 )
 
 // Reader waits until the replica is fresh enough to answer a query. Users ask about their jobs far more often
-// than jobs change. One read of the state service that starts after a set of queries arrived answers all
-// of them, so the cost of queries grows with time and not with the number of users. Reader is an actor.
+// than jobs change. One read of the state service that starts after a set of queries arrived serves all of
+// them, so the rate of reads is bounded whatever the number of users. Reader is an actor.
 type Reader struct {
 	store *Store
 	// OnArchived is called with each archived job that had to be read; it may be nil.
--- a/internal/bookkeeping/sizes.go
+++ b/internal/bookkeeping/sizes.go
@@ -145,7 +145,7 @@
 	return drops
 }
 
-// trimToFit removes the fields that only people read from a record that is too large.
+// trimToFit removes the fields that are only displayed from a record that is too large.
 func (s *Store) trimToFit(r *jobRecord) *jobRecord {
 	if !s.fits(r) {
 		spec := *r.Spec
--- a/internal/history/linear.go
+++ b/internal/history/linear.go
@@ -91,7 +91,7 @@
 	var events []porcupine.Operation
 	for i, op := range ops {
 		end := op.Return
-		if end == 0 { // no answer came: the operation stays open, as if of another client
+		if end == 0 { // no answer came: the operation overlaps all later ones, its client's included
 			end = never + time.Duration(i)
 		}
 		events = append(events, porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: int64(end)})
--- a/internal/history/rules.go
+++ b/internal/history/rules.go
@@ -64,9 +64,9 @@
 type job struct {
 	spec            *protocol.JobSpec
 	accepted        bool
-	cancelAsked     bool // cancellation was requested
-	cancelled       time.Duration
-	finalStatus     string // the last final status that was answered, or "" ("accepted" is a flag)
+	cancelAsked     bool          // cancellation was requested
+	cancelled       time.Duration // time of the first final answer if it was cancelled, -1 otherwise
+	finalStatus     string        // the last final status that was answered, "" if none
 	done            map[int]bool
 	placed          map[int]place
 	attempts        map[int][]attempt // attempts that received a start command and have not ended, by task
@@ -99,8 +99,8 @@
 	failed        int
 	violations    []Violation
 	now           time.Duration
-	// activeFaults are counted by name; faultFreeSince is the time at which the last one ended. A fault is
-	// active until it ends, a stopped controller until it is up again.
+	// activeFaults are counted by name; faultFreeSince is the time at which the last one ended. A stopped
+	// controller counts as an active fault until it is up again.
 	activeFaults      map[string]int
 	faultFreeSince    time.Duration
 	longestUnanswered time.Duration // longest time without an answer about one job, counted from faultFreeSince
--- a/internal/protocol/operators.go
+++ b/internal/protocol/operators.go
@@ -57,25 +57,26 @@
 type SlotState struct {
 	Slot     int    `json:"slot"`
 	Holder   string `json:"holder"`
-	Complete bool   `json:"complete"`
+	Complete bool   `json:"complete"` // the holder knows all tasks that may be on the slot's machines
 	Machines int    `json:"machines"`
-	Awaited  int    `json:"awaited"`
+	Awaited  int    `json:"awaited"` // machines that may have tasks and are overdue with their first report to the holder
 }
 
-// MachineCount counts the machines that a controller holds, by state.
+// MachineCount counts the machines that a controller holds, by state, and their tasks. A machine may be in
+// several states.
 type MachineCount struct {
 	Machines int `json:"machines"`
-	Silent   int `json:"silent"`
-	Suspect  int `json:"suspect"`
-	Doubted  int `json:"doubted"`
+	Silent   int `json:"silent"`  // unresponsive, or their leases have surely ended
+	Suspect  int `json:"suspect"` // fail the tasks that they are given
+	Doubted  int `json:"doubted"` // in quarantine after failures
 	Draining int `json:"draining"`
 	// Vacating counts the draining machines whose services are being moved elsewhere.
 	Vacating int `json:"vacating"`
 	Tasks    int `json:"tasks"`
 	Running  int `json:"running"`
-	// Answers: the controller answers its workers, under a session or on promises. HorizonS is the age of the
-	// time up to which the controller surely knows all cancellations. If it grows too old, the controller
-	// answers no workers.
+	// Answers: the controller answers its workers, under a session or on promises. HorizonS is the age in
+	// seconds of the time up to which the controller surely knows all cancellations, 0 if there is no such
+	// time yet. If HorizonS grows too large, the controller answers no workers.
 	Answers  bool    `json:"answers"`
 	HorizonS float64 `json:"horizonS"`
 }
@@ -236,8 +237,8 @@
 	At       string `json:"at,omitempty"`
 	// Authorities are the controllers that grant permits, by team, as far as known.
 	Authorities map[string]string `json:"authorities,omitempty"`
-	// Permits counts the outstanding permits that this controller granted as an authority. Over lists accounts
-	// whose live services alone exceed the limit.
+	// Permits counts the outstanding permits that this controller granted as an authority. Over lists the
+	// accounts whose protected services alone exceed their limit.
 	Permits int `json:"permits"`
 	// Requests counts this controller's requests to authorities so far, Granted the permits received.
 	Requests int64          `json:"requests"`
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -23,7 +23,7 @@
 	Version uint64 `json:"stamp"`
 }
 
-// Change sets or drops a key.
+// Change sets or drops a key, which is in Set or in Drop.
 type Change struct {
 	Set   string `json:"set,omitempty"`
 	Value any    `json:"value,omitempty"`
@@ -43,7 +43,7 @@
 	Failed   []string `json:"failed"`
 }
 
-// Event is one change that a watch reports.
+// Event is one change that a watch reports. Set or Drop is the key.
 type Event struct {
 	Set     string          `json:"set"`
 	Drop    string          `json:"drop"`
