--- a/internal/history/rules.go
+++ b/internal/history/rules.go
@@ -29,25 +29,22 @@
 	return fmt.Sprintf("%v: %s: %s", v.At.Round(time.Millisecond), v.Rule, v.What)
 }
 
-// The names of the rules, as the protocol has them ("Rules"). TooEarly is the rule on dependencies between
-// jobs, NestedQuota the one on accounts within teams. InUse is violated when a task is started on a machine
-// where another attempt of it has not ended; StartedTwice when a task is started while another attempt is on
-// another machine in any state, even before it has its image. RanTwice covers only attempts that both have
-// their images.
+// The names of the rules, as the protocol has them ("Rules"), and what violates each. StartedTwice also covers
+// attempts that do not have their images yet, RanTwice only attempts that do.
 const (
-	RanTwice     = "ran_twice"
-	Quota        = "quota"
-	NestedQuota  = "nested quota"
-	WrongPlace   = "wrong_place"
-	RanCancelled = "ran_cancelled"
-	Forgotten    = "forgotten"
-	Invented     = "invented"
-	NotDone      = "not_done"
-	WentBack     = "went_back"
-	NothingRan   = "nothing_ran"
-	TooEarly     = "too_early"
-	InUse        = "in_use"
-	StartedTwice = "started_twice"
+	RanTwice     = "ran_twice"     // a task is on two machines
+	Quota        = "quota"         // a team exceeds its limit
+	NestedQuota  = "nested quota"  // an account exceeds its CPU limit
+	WrongPlace   = "wrong_place"   // a machine type, zone or spread that the job does not allow
+	RanCancelled = "ran_cancelled" // a task starts or remains too long after its job was reported as cancelled
+	Forgotten    = "forgotten"     // an accepted job is refused, unknown or unanswered for too long
+	Invented     = "invented"      // a task or a status of a job that nobody submitted
+	NotDone      = "not_done"      // a job is reported as done before all its tasks are
+	WentBack     = "went_back"     // a final status changes, or a job is reported as cancelled that no user cancelled
+	NothingRan   = "nothing_ran"   // jobs were submitted and no task was started
+	TooEarly     = "too_early"     // a task starts before a job that its job needs is done
+	InUse        = "in_use"        // a task is started on a machine where another attempt of it has not ended
+	StartedTwice = "started_twice" // a task is started while another attempt is on another machine in any state
 )
 
 // unanswered limits how long all polls for a job may fail while most others are answered;
@@ -72,8 +69,8 @@
 	attempts        map[int][]attempt // attempts that received a start command and have not ended, by task
 	zones           map[string]int
 	starts          int
-	unansweredSince time.Duration // time of the first poll that failed, or of a later violation; -1 if the last poll was answered
-	answeredBefore  int           // answered polls of all jobs when this job's polls began to fail
+	unansweredSince time.Duration // when polls began to fail, or the last violation since; -1 if they do not fail
+	answeredBefore  int           // answered polls of all jobs when polls for this one began to fail
 	failedBefore    int           // failed polls of all jobs at the same time
 }
 
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -28,7 +28,7 @@
 	Service Shape = "standing"
 )
 
-// Priority orders work; higher priorities may preempt lower ones.
+// Priority is the priority of a job; jobs of higher priority may preempt those of lower priority.
 type Priority string
 
 var priorityRank = map[Priority]int{"idle": 0, "normal": 1, "high": 2, "critical": 3}
--- a/internal/protocol/operators.go
+++ b/internal/protocol/operators.go
@@ -59,7 +59,7 @@
 	Holder   string `json:"holder"`
 	Complete bool   `json:"complete"` // the holder knows all tasks that may be on the slot's machines
 	Machines int    `json:"machines"`
-	Awaited  int    `json:"awaited"` // machines that may have tasks and are overdue with their first report to the holder
+	Awaited  int    `json:"awaited"` // machines that may have tasks and whose first report is overdue
 }
 
 // MachineCount counts the machines that a controller holds, by state, and their tasks. A machine may be in
