--- a/cmd/daledyke/lab.go
+++ b/cmd/daledyke/lab.go
@@ -26,7 +26,7 @@
 	}
 	cmd.AddCommand(labRunCommand(), labReportCommand(), labHuntCommand(), &cobra.Command{
 		Use:    "play DIR",
-		Hidden: true, // run starts it, a process for each run of an experiment
+		Hidden: true, // the command run starts it, in one process for each run of an experiment
 		Args:   cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if err := setLogging(); err != nil {
--- a/cmd/daledyke/qstat.go
+++ b/cmd/daledyke/qstat.go
@@ -26,7 +26,7 @@
 
 // listJobs fetches the jobs that match a filter.
 func listJobs(cmd *cobra.Command, o *pbsOptions, f protocol.JobFilter) ([]protocol.JobView, error) {
-	u, err := o.users()
+	u, err := o.userClient()
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/daledyke/qsub.go
+++ b/cmd/daledyke/qsub.go
@@ -55,8 +55,8 @@
 	return args, nil
 }
 
-// users makes a client of the controllers that the options or the environment name.
-func (o *pbsOptions) users() (*transport.UserClient, error) {
+// userClient makes a client of the controllers that the options or the environment name.
+func (o *pbsOptions) userClient() (*transport.UserClient, error) {
 	addresses := transport.SplitAddresses(cmp.Or(o.address, os.Getenv(addressesVariable)))
 	if len(addresses) == 0 && o.platform != "" {
 		c, err := config.Load(o.platform, "")
@@ -71,7 +71,7 @@
 	return transport.NewUserClient(transport.NetDialer(), addresses), nil
 }
 
-// pbsCommand makes the command for one of PBS's.
+// pbsCommand makes a command that takes the options of PBS, such as qsub.
 func pbsCommand(use, short, long string, run func(cmd *cobra.Command, o *pbsOptions, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Long: long, DisableFlagParsing: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -153,7 +153,7 @@
 	if o.check {
 		return checkScript(cmd, o, script, options, key)
 	}
-	u, err := o.users()
+	u, err := o.userClient()
 	if err != nil {
 		return err
 	}
@@ -293,7 +293,7 @@
 	if len(args) == 0 {
 		return errors.New("no job is named")
 	}
-	u, err := o.users()
+	u, err := o.userClient()
 	if err != nil {
 		return err
 	}
--- a/cmd/daledyke/up.go
+++ b/cmd/daledyke/up.go
@@ -61,7 +61,7 @@
 	pbs                   bool
 }
 
-// exampleQueue is the operators' settings with a queue for trying scripts.
+// exampleQueue is the content of an operators' settings file with one queue, for trying scripts.
 const exampleQueue = `(daledyke
   (pbs
     (queue "try" (default true) (team "desk") (class "render") (image "tools" ) (image-gb 1)
@@ -143,7 +143,7 @@
 // exampleJob is a job to try: three tasks of 20 s.
 const exampleJob = `{"id":"wk-1","laneClass":"render","crew":"desk","shape":"array","urgency":"normal","passes":3,"cores":4,"accelerators":0,"ramGb":8,"build":"tools","pullGb":1,"oneZone":false,"scatter":false,"standby":false,"expectedS":20,"snapshotS":0,"flushS":0}`
 
-// logTail is the last lines of the log of the controller that a message begins with.
+// logTail returns the last five lines of the log of the controller whose name begins the message.
 func logTail(dir, message string) string {
 	name, _, _ := strings.Cut(message, " ")
 	raw, err := os.ReadFile(filepath.Join(dir, name+".log"))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,10 +46,11 @@
 // HasGuarantee reports whether the team has a guarantee for any resource.
 func (t *Team) HasGuarantee() bool { return t.Cores > 0 || t.Accels > 0 }
 
-// WithinGuarantee reports whether work with this need is covered by the team's guarantee when the team's tasks,
-// including that work, use the given total. A guarantee of 0 means none: it doesn't cover work that takes the
-// resource, and doesn't exclude work that also takes a guaranteed resource. Otherwise a team with a guarantee
-// of GPUs alone would have no guarantee at all, since all work takes CPUs.
+// WithinGuarantee reports whether work with this need is covered by the team's guarantee when the team's
+// tasks, including that work, use the given total. The work must take at least one resource that is
+// guaranteed (above 0), and the use of each guaranteed resource must be within its guarantee. Resources
+// without a guarantee are not compared: otherwise a guarantee of GPUs alone would cover no work, since all
+// work takes CPUs.
 func (t *Team) WithinGuarantee(need, use protocol.Room) bool {
 	const slack = 1e-6
 	covers := t.Cores > 0 && need.Cores > 0 || t.Accels > 0 && need.Accels > 0
@@ -229,12 +230,13 @@
 }
 
 // CancellationAckTimeout bounds the wait for siblings to acknowledge a cancellation before the user gets the
-// answer. Tasks that an unaware sibling renews or starts during the wait lose none of the time within which
-// they must end. The bound is half of MaxRenewalStaleness, so that users wait for seconds, not for as long as
-// a controller may be partitioned.
+// answer. The wait doesn't shorten the time that a cancelled job's tasks have to end, including those that an
+// unaware sibling renews or starts during the wait. The bound is half of MaxRenewalStaleness, so that users
+// wait for seconds, not for as long as a controller may be partitioned.
 func (c *Config) CancellationAckTimeout() time.Duration { return c.MaxRenewalStaleness() / 2 }
 
-// minRenewalStaleness is the smallest supported MaxRenewalStaleness; changes arrive within a third of it.
+// minRenewalStaleness is the smallest supported MaxRenewalStaleness. A watch request then lasts at most a third
+// of it (WatchTimeout).
 const minRenewalStaleness = 3 * time.Second
 
 // WatchTimeout bounds one watch request for changes, and so the age of a controller's knowledge while the state
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// The minimum cancel_s that an error names is accepted, and watch requests are then frequent enough.
+// The minimum cancel_s that an error names is accepted. A watch request lasts at most a third of the maximum
+// staleness, and from 1 to 3 s.
 func TestMinimumCancelTimeIsAccepted(t *testing.T) {
 	for _, cancelS := range []string{"30.0", "40.0", "51.0"} {
 		c, err := load(t, strings.Replace(validSettings, "cancel_s = 51.0", "cancel_s = "+cancelS, 1))
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,7 +19,7 @@
 	SummaryEvery time.Duration
 	// Sample is the number of machines that are sampled for a best fit.
 	Sample int
-	// IdleAfter is for how long a machine may be idle before it is returned.
+	// IdleAfter is for how long a machine may be idle before it is returned to the cloud.
 	IdleAfter time.Duration
 	// Spare scales the capacity that is kept free for urgent work.
 	Spare float64
--- a/internal/config/quotas.go
+++ b/internal/config/quotas.go
@@ -113,8 +113,8 @@
 	return t, err
 }
 
-// AccountOf is the account to which a job is charged: the one that it names, or else its team's own; "" if the
-// team has no tree.
+// AccountOf is the account to which a job is charged: the one that it names, or else its team's own; "" if
+// the team has no quotas.
 func AccountOf(t *quota.Tree, s *protocol.JobSpec) string {
 	switch {
 	case !t.HasTeam(s.Team):
--- a/internal/pbs/resources.go
+++ b/internal/pbs/resources.go
@@ -179,7 +179,7 @@
 
 var errConcurrencyLimit = errors.New("that no more than so many run at a time can't be promised for a job")
 
-// ParseArray reads X-Y[:Z]; errAtATime if %M follows.
+// ParseArray reads X-Y[:Z]. It returns errConcurrencyLimit if %M follows.
 func ParseArray(text string) (a Array, err error) {
 	text, _, concurrencyLimited := strings.Cut(text, "%")
 	bounds, step, stepped := strings.Cut(text, ":")
--- a/internal/pbs/translate.go
+++ b/internal/pbs/translate.go
@@ -307,7 +307,7 @@
 }
 
 func (t *translation) resources(o Option) {
-	// The values of select and place contain no commas, which join several resources.
+	// Commas separate resources; the values of select and place contain none.
 	for _, item := range strings.Split(o.Value, ",") {
 		name, value, given := strings.Cut(item, "=")
 		if !given || value == "" {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -117,7 +117,8 @@
 	Deferred Urgency = iota
 	// Ordinary requests use at most 70 % of this controller's share of the rate.
 	Ordinary
-	// Urgent requests may use the whole share, and after a shortage more than that.
+	// Urgent requests may use the whole share, and more than that while the share doesn't suffice and the service
+	// refuses nothing.
 	Urgent
 	// Vital requests are few and everything else depends on them, for example lease renewals.
 	Vital
@@ -137,17 +138,18 @@
 	throttledUntilMs, raisedAtMs atomic.Int64
 }
 
-// While nothing is refused, a shortage raises the limit of urgent requests above the share: after many
-// controllers have failed at once, those that return first serve all users. The limit grows by raiseFactor
-// every raiseInterval, up to maxShares, and falls back to the share at the first refusal.
+// When an urgent request finds no budget and the service has refused nothing lately, the limit of urgent
+// requests rises above the share: after many controllers have failed at once, those that return first serve
+// all users. The limit is multiplied by raiseFactor at most once every raiseInterval, up to maxShares times the
+// share, and falls back to the share at the first refusal.
 const (
 	raiseFactor   = 1.2
 	raiseInterval = 100 * time.Millisecond
 	maxShares     = 4
 )
 
-// throttleTime is for how long deferred requests are throttled after a refusal for the rate;
-// throttledCostFactor multiplies their cost meanwhile.
+// throttleTime is for how long deferred requests are throttled after the service has refused a request because
+// of its rate limit; throttledCostFactor multiplies their cost meanwhile.
 const (
 	throttleTime        = time.Second
 	throttledCostFactor = 3
@@ -162,7 +164,8 @@
 	return b
 }
 
-// recordRefusal throttles deferred requests and resets the urgent limit after a refusal for the rate.
+// recordRefusal throttles deferred requests and resets the urgent limit, after the service has refused a request
+// because of its rate limit.
 func (b *rateBudget) recordRefusal() {
 	b.throttledUntilMs.Store(time.Now().Add(throttleTime).UnixMilli())
 	b.setUrgentRate(b.share)
@@ -181,8 +184,8 @@
 	}
 }
 
-// wait blocks until the budget admits n requests of this urgency, or ctx ends. All n are charged even where a
-// small share's burst is below the number of changes in a transaction; otherwise the controllers together
+// wait blocks until the budget admits n requests of this urgency, or ctx ends. All n are charged, also where
+// n exceeds the burst, as a large transaction does with a small share; otherwise the controllers together
 // would exceed the rate.
 func (b *rateBudget) wait(ctx context.Context, u Urgency, n int) error {
 	if u == Deferred && time.Now().UnixMilli() < b.throttledUntilMs.Load() {
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -40,7 +40,7 @@
 
 type front struct {
 	service Service
-	// crowded reports whether too many connections are open to keep those of workers alive.
+	// crowded reports whether so many connections are open that those of workers are closed after each response.
 	crowded func() bool
 }
 
@@ -75,9 +75,9 @@
 	return r
 }
 
-// keepAliveShare is the share of the connection limit up to which workers keep their connections alive between
-// reports. Above it they open a connection for each report: a controller that served a whole fleet alone had
-// no connection left for users, and none to its workers.
+// keepAliveShare is the share of the connection limit up to which workers keep their connections alive
+// between reports. Above it they open a connection for each report. Without this limit, a controller that
+// served a whole fleet alone had no connections left, neither for users nor to its workers.
 const keepAliveShare = 0.75
 
 // ServeFront serves users, workers and health checks until the listener closes. The number of connections is
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -46,9 +46,9 @@
 	return Call(ctx, w.http, method, url, body)
 }
 
-// Do sends commands to a worker; rep is the worker's report after them. If executed is false without an error,
-// the worker refused the commands for good. ErrRefused means that nothing was sent, since no connection was
-// available.
+// Do sends commands to a worker; rep is the worker's report after them. If executed is false and err is nil,
+// the worker refused the commands permanently. ErrRefused means that nothing was sent, since no connection
+// was available.
 func (w *Workers) Do(ctx context.Context, addr string, o protocol.Orders) (rep *protocol.Report, executed bool, err error) {
 	if o.Commands == nil {
 		o.Commands = []protocol.Command{}
