--- a/cmd/daledyke/qstat.go
+++ b/cmd/daledyke/qstat.go
@@ -100,7 +100,7 @@
 		case option == "-F" && value == "json":
 			asJSON = true
 		case option == "-u" && value != "":
-			f.Team = value // jobs belong to teams
+			f.Team = value // PBS selects by user here, but jobs belong to teams
 		case option == "-q" && value != "":
 			f.Queue = value
 		default:
--- a/cmd/daledyke/qsub.go
+++ b/cmd/daledyke/qsub.go
@@ -105,7 +105,7 @@
 	exitFinishedJob = 35
 )
 
-// withPBSStatus adds the exit status of PBS's commands to an error.
+// withPBSStatus gives an error the exit status that PBS's commands have for it.
 func withPBSStatus(err error) error {
 	switch {
 	case errors.Is(err, transport.ErrNoSuchJob):
--- a/cmd/daledyke/quota.go
+++ b/cmd/daledyke/quota.go
@@ -80,7 +80,7 @@
 	return root
 }
 
-// accountSubtree returns the named account, first, and those below it.
+// accountSubtree returns the named account followed by its descendants.
 func accountSubtree(all []protocol.QuotaAccount, name string) (out []protocol.QuotaAccount, err error) {
 	for _, a := range all {
 		if a.Name == name || strings.HasPrefix(a.Name, name+"/") {
--- a/internal/pbs/finish.go
+++ b/internal/pbs/finish.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// setAccount sets the account that -P or -A names, which must be one of the queue's team.
+// setAccount sets the account that -P or -A names, which must be an account of the queue's team.
 func (t *translation) setAccount() {
 	o := t.project
 	if o.Value == "" {
--- a/internal/pbs/options.go
+++ b/internal/pbs/options.go
@@ -139,8 +139,8 @@
 	at   Position
 }
 
-// split splits the rest of a directive line into words like a shell: quotes protect blanks, and # begins a
-// comment.
+// split splits the rest of a directive line into words like a shell: blanks within quotes don't end a word, and
+// # begins a comment.
 func split(rest string, line, from int) (words []word, err error) {
 	var b strings.Builder
 	quoteChar, start := byte(0), -1
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -148,8 +148,8 @@
 	maxShares     = 4
 )
 
-// throttleTime is for how long deferred requests are throttled after the service has refused a request because
-// of its rate limit; throttledCostFactor multiplies their cost meanwhile.
+// throttleTime is for how long deferred requests are throttled after the service has refused a request
+// because of its rate limit; throttledCostFactor multiplies their cost meanwhile.
 const (
 	throttleTime        = time.Second
 	throttledCostFactor = 3
@@ -164,8 +164,8 @@
 	return b
 }
 
-// recordRefusal throttles deferred requests and resets the urgent limit, after the service has refused a request
-// because of its rate limit.
+// recordRefusal throttles deferred requests and resets the urgent limit, after the service has refused a
+// request because of its rate limit.
 func (b *rateBudget) recordRefusal() {
 	b.throttledUntilMs.Store(time.Now().Add(throttleTime).UnixMilli())
 	b.setUrgentRate(b.share)
