--- a/cmd/daledyke/up_test.go
+++ b/cmd/daledyke/up_test.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// An experiment in real time, in which controllers are processes. One controller is killed, one
-// hangs. Both compared versions are the same program.
+// An experiment in real time, in which controllers are processes. One controller is killed and one
+// hangs. The two versions compared are the same program.
 func TestLabInRealTime(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
