--- a/cmd/daledyke/qstat.go
+++ b/cmd/daledyke/qstat.go
@@ -26,7 +26,7 @@
 
 // listJobs fetches the jobs that match a filter.
 func listJobs(cmd *cobra.Command, o *pbsOptions, f protocol.JobFilter) ([]protocol.JobView, error) {
-	u, err := o.users()
+	u, err := o.userClient()
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 		case option == "-F" && value == "json":
 			asJSON = true
 		case option == "-u" && value != "":
-			f.Team = value // jobs belong to teams
+			f.Team = value // PBS selects by user here, but jobs belong to teams
 		case option == "-q" && value != "":
 			f.Queue = value
 		default:
