--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -12,7 +12,7 @@
 	"daledyke/internal/transport"
 )
 
-// The load balancer's times, as the protocol gives them.
+// The load balancer's intervals and limits, as the protocol defines them.
 const (
 	probeInterval       = time.Second
 	probeTimeout        = time.Second
@@ -26,8 +26,8 @@
 	maxTries            = 3
 )
 
-// Balancer is the load balancer that users come through: it picks a healthy node for
-// each new connection, and knows nothing of requests. Its loop owns its state.
+// Balancer is the load balancer between users and controllers. It picks a healthy node for each new
+// connection and does not interpret requests. Its loop owns its state.
 type Balancer struct {
 	loop  *loop
 	dial  transport.Dialer
@@ -35,17 +35,17 @@
 	rng   *rand.Rand
 }
 
-// backend is a node as the balancer sees it.
+// backend is the balancer's state of one node.
 type backend struct {
 	name, addr string
 	healthy    bool
-	ever       bool // it was healthy once
+	ever       bool // it has been healthy before
 	since      time.Time
-	probes     []bool // the last six, newest last
+	probes     []bool // results of the last six probes, newest last
 	removed    time.Time
-	pause      time.Duration // from its removal until it may be healthy again
+	pause      time.Duration // time from its removal until it may be healthy again
 	open       map[*balanced]bool
-	failed     int // connections in a row
+	failed     int // consecutive failed dials
 	skipped    time.Time
 }
 
@@ -56,14 +56,14 @@
 	node *backend
 }
 
-// Close ends the connection.
+// Close closes the connection and removes it from its node's list.
 func (c *balanced) Close() error {
 	c.b.tell(func() { delete(c.node.open, c) })
 	return c.Conn.Close()
 }
 
-// tell has f run on the loop, and does not wait: connections are closed under locks of
-// net/http.
+// tell runs f on the loop without waiting for it, because net/http closes connections while it holds
+// locks.
 func (b *Balancer) tell(f func()) {
 	select {
 	case b.loop.inbox <- f:
@@ -71,8 +71,7 @@
 	}
 }
 
-// NewBalancer makes a balancer over the doors of nodes, by their names, which lives as
-// long as ctx.
+// NewBalancer returns a balancer over the named nodes and their addresses. It runs until ctx ends.
 func NewBalancer(ctx context.Context, dial transport.Dialer, names []string, doors map[string]string, seed uint64) *Balancer {
 	b := &Balancer{loop: newLoop(ctx), dial: dial, rng: rand.New(rand.NewPCG(seed, 0xba1a))}
 	for _, name := range names {
@@ -83,7 +82,7 @@
 	return b
 }
 
-// probe asks a node for its health until the balancer ends.
+// probe checks a node's health periodically until the balancer ends.
 func (b *Balancer) probe(n *backend) {
 	client := &http.Client{Transport: &http.Transport{DialContext: b.dial, MaxConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -102,7 +101,7 @@
 	}
 }
 
-// judge takes in what a probe came to, and gives the connections that are to be reset.
+// judge applies the result of a probe and returns the connections that must be reset.
 func (n *backend) judge(ok bool, now time.Time) (reset []*balanced) {
 	n.probes = append(n.probes, ok)
 	if len(n.probes) > 6 {
@@ -138,8 +137,8 @@
 	return reset
 }
 
-// pick chooses the node for a connection: the one with the fewest that are open, by its
-// share; a node that has just come back has less of one.
+// pick returns the healthy node with the fewest open connections in relation to its share. The share of a
+// node grows from 5% to 100% within slowStart after it becomes healthy.
 func (b *Balancer) pick(tried map[*backend]bool, now time.Time) *backend {
 	var best *backend
 	load, ties := 0.0, 0
@@ -163,7 +162,7 @@
 
 var errNoNode = errors.New("no healthy node takes the connection")
 
-// Dial opens a connection to some healthy node, whatever address is asked for.
+// Dial opens a connection to a healthy node; it ignores the address.
 func (b *Balancer) Dial(ctx context.Context, network, _ string) (net.Conn, error) {
 	tried := map[*backend]bool{}
 	for range maxTries {
@@ -197,7 +196,7 @@
 	return nil, errNoNode
 }
 
-// Healthy are the names of the nodes that get connections.
+// Healthy returns the names of the nodes that receive connections.
 func (b *Balancer) Healthy() (names []string) {
 	b.loop.do(func() {
 		for _, n := range b.nodes {
@@ -209,7 +208,7 @@
 	return names
 }
 
-// Serve passes the connections of a listener on to nodes, until the listener closes.
+// Serve forwards the connections of a listener to nodes until the listener closes.
 func (b *Balancer) Serve(l net.Listener) error {
 	for {
 		c, err := l.Accept()
--- a/internal/emulator/balancer_test.go
+++ b/internal/emulator/balancer_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The load balancer does as the protocol says: it takes a node that fails its probes out,
-// resets what is open to it, has it back after a pause that doubles, tries another node when
-// one refuses, and gives a node that is back its share slowly.
+// The balancer follows the protocol: it removes a node that fails its probes, resets its open connections,
+// readmits it after a pause that doubles, tries another node when one refuses, and raises the share of a
+// readmitted node slowly.
 func TestBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -96,10 +96,10 @@
 		for len(b.Healthy()) < 2 {
 			time.Sleep(100 * time.Millisecond)
 		}
-		if took := time.Since(since); took < 6*time.Second || took > 12*time.Second { // its second pause is twice the first
+		if took := time.Since(since); took < 6*time.Second || took > 12*time.Second { // the second pause is twice the first
 			t.Errorf("it is back after %v", took)
 		}
-		// One second after it is back it has a tenth of its share.
+		// One second after a node becomes healthy again it has a tenth of its share.
 		count := map[string]int{}
 		time.Sleep(time.Second)
 		for range 22 {
@@ -108,7 +108,7 @@
 		if count[name] < 1 || count[name] > 6 {
 			t.Errorf("a node that is just back gets %v", count)
 		}
-		// A node that refuses connections between two probes: the other is tried.
+		// When a node refuses connections between two probes, the other node is tried.
 		doors[0].Close()
 		for range 4 {
 			if got := dial(); got != "b" {
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -29,9 +29,9 @@
 	r := httprouter.New()
 	r.GET("/catalog", func(rw http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		w.cloudAnswer(rw, func() (int, any) {
-			c := protocol.Catalog{Types: slices.Clone(w.set.Types)}
+			c := protocol.Catalog{Types: slices.Clone(w.setup.Types)}
 			for i := range c.Types {
-				c.Types[i].SpotPrice *= w.prices[c.Types[i].Name]
+				c.Types[i].SpotPrice *= w.spotFactors[c.Types[i].Name]
 			}
 			return http.StatusOK, c
 		})
@@ -77,9 +77,9 @@
 func (w *World) maybeLate(rw http.ResponseWriter, r *http.Request, f func() (int, any)) {
 	var late time.Duration
 	w.loop.do(func() {
-		if late = w.cloudLate; late > 0 {
+		if late = w.cloudDelay; late > 0 {
 			w.loop.after(late, func() {
-				if !w.down {
+				if !w.cloudDown {
 					f()
 				}
 			})
@@ -97,8 +97,8 @@
 	status, body := http.StatusServiceUnavailable, any(problem("trouble"))
 	w.loop.do(func() {
 		switch {
-		case w.down:
-		case !w.bucket.Allow():
+		case w.cloudDown:
+		case !w.cloudLimiter.Allow():
 			status, body = http.StatusTooManyRequests, nil
 		default:
 			status, body = f()
@@ -113,13 +113,13 @@
 	if q.Booking == "" || t == nil || !slices.Contains(t.Zones, q.Zone) || q.Count < 1 || q.Count > protocol.MaxRent {
 		return http.StatusBadRequest, problem("malformed")
 	}
-	if ids, done := w.booked[q.Booking]; done {
+	if ids, done := w.bookings[q.Booking]; done {
 		return http.StatusOK, protocol.MachineNames{Machines: ids}
 	}
 	var ids []string
-	left := w.capacity - w.live
-	if most, bound := w.set.MaxByType[q.Type]; bound {
-		left = min(left, most-w.lives[q.Type])
+	left := w.capacity - w.charged
+	if most, bound := w.setup.MaxByType[q.Type]; bound {
+		left = min(left, most-w.chargedByType[q.Type])
 	}
 	for range min(q.Count, left) {
 		ids = append(ids, w.newMachine(q, t).id)
@@ -127,33 +127,33 @@
 	if ids == nil {
 		return http.StatusServiceUnavailable, problem("no capacity")
 	}
-	w.booked[q.Booking] = ids
+	w.bookings[q.Booking] = ids
 	return http.StatusOK, protocol.MachineNames{Machines: ids}
 }
 
 // newMachine rents a machine, which boots.
 func (w *World) newMachine(q protocol.RentRequest, t *protocol.MachineType) *machine {
-	id := fmt.Sprintf("host-%06d", w.made)
-	v := w.set.Variation
+	id := fmt.Sprintf("host-%06d", w.machinesMade)
+	v := w.setup.Variation
 	m := &machine{w: w, id: id, kind: q, typ: t, born: time.Now(), session: 1, tasks: map[string]*task{}, speed: 1, fetchSpeed: 1,
-		node: w.made % max(1, len(w.set.Controllers)), poke: make(chan struct{}, 1), resumed: make(chan struct{})}
+		node: w.machinesMade % max(1, len(w.setup.Controllers)), poke: make(chan struct{}, 1), resumed: make(chan struct{})}
 	close(m.resumed)
-	w.made++
-	boot := t.BootS * w.boots
+	w.machinesMade++
+	boot := t.BootS * w.bootFactor
 	if v.Boots {
-		boot *= w.spread(0.6, 1.5)
+		boot *= w.uniform(0.6, 1.5)
 		if w.rng.Float64() < 0.03 {
-			boot *= w.spread(2, 5)
+			boot *= w.uniform(2, 5)
 		}
 	}
 	if v.Speeds {
-		m.speed, m.fetchSpeed = w.spread(0.9, 1), w.spread(0.67, 1.33)
+		m.speed, m.fetchSpeed = w.uniform(0.9, 1), w.uniform(0.67, 1.33)
 	}
 	m.listed = m.born.Add(w.lag())
 	w.machines[id] = m
-	w.order = append(w.order, m)
+	w.machineList = append(w.machineList, m)
 	w.charge(m, 1)
-	w.note(history.Event{Kind: history.MachineRented, Machine: id, Type: q.Type, Zone: q.Zone, Spot: q.Spot})
+	w.record(history.Event{Kind: history.MachineRented, Machine: id, Type: q.Type, Zone: q.Zone, Spot: q.Spot})
 	if !v.Boots || w.rng.Float64() >= v.NeverUp {
 		w.loop.after(protocol.Seconds(boot), m.comeUp)
 	}
@@ -162,9 +162,9 @@
 
 // lag is by how much the list is late with one piece of news.
 func (w *World) lag() time.Duration {
-	lag := w.set.Variation.ListLag
+	lag := w.setup.Variation.ListLag
 	if lag > 0 && w.rng.Float64() < 0.1 {
-		lag = time.Duration(float64(lag) * w.spread(1, 2))
+		lag = time.Duration(float64(lag) * w.uniform(1, 2))
 	}
 	return lag
 }
@@ -172,7 +172,7 @@
 // price is what a machine costs an hour now.
 func (w *World) price(m *machine) float64 {
 	if m.kind.Spot {
-		return m.typ.SpotPrice * w.prices[m.typ.Name]
+		return m.typ.SpotPrice * w.spotFactors[m.typ.Name]
 	}
 	return m.typ.Price
 }
@@ -180,36 +180,36 @@
 // pay adds up what the machines cost until now.
 func (w *World) pay() {
 	now := time.Now()
-	w.money += w.hourly * now.Sub(w.paidTo).Hours()
-	w.paidTo = now
+	w.cost += w.hourlyCost * now.Sub(w.costAccruedTo).Hours()
+	w.costAccruedTo = now
 }
 
 // charge begins (1) or ends (-1) what a machine costs.
 func (w *World) charge(m *machine, sign int) {
 	w.pay()
 	m.charged = sign > 0
-	w.live += sign
-	w.lives[m.typ.Name] += sign
-	w.hourly += float64(sign) * w.price(m)
+	w.charged += sign
+	w.chargedByType[m.typ.Name] += sign
+	w.hourlyCost += float64(sign) * w.price(m)
 	if sign < 0 {
-		w.money += w.price(m) * max(0, leastCharge-time.Since(m.born)).Hours()
+		w.cost += w.price(m) * max(0, leastCharge-time.Since(m.born)).Hours()
 	}
-	if w.live == 0 {
-		w.hourly = 0 // of roundings
+	if w.charged == 0 {
+		w.hourlyCost = 0 // of roundings
 	}
 }
 
 // movePrices moves the spot prices, and again later.
 func (w *World) movePrices() {
 	w.pay()
-	for i := range w.set.Types {
-		name := w.set.Types[i].Name
-		w.prices[name] = math.Max(0.67, math.Min(1.33, w.prices[name]*w.spread(0.93, 1.07)))
+	for i := range w.setup.Types {
+		name := w.setup.Types[i].Name
+		w.spotFactors[name] = math.Max(0.67, math.Min(1.33, w.spotFactors[name]*w.uniform(0.93, 1.07)))
 	}
-	w.hourly = 0
-	for _, m := range w.order {
+	w.hourlyCost = 0
+	for _, m := range w.machineList {
 		if m.charged {
-			w.hourly += w.price(m)
+			w.hourlyCost += w.price(m)
 		}
 	}
 	w.loop.after(30*time.Second, w.movePrices)
@@ -220,11 +220,11 @@
 	l := protocol.MachineList{Machines: []protocol.Machine{}}
 	now := time.Now()
 	w.forget(now)
-	at, found := slices.BinarySearchFunc(w.order, from, func(m *machine, id string) int { return strings.Compare(m.id, id) })
+	at, found := slices.BinarySearchFunc(w.machineList, from, func(m *machine, id string) int { return strings.Compare(m.id, id) })
 	if found {
 		at++
 	}
-	for _, m := range w.order[at:] {
+	for _, m := range w.machineList[at:] {
 		if now.Before(m.listed) || m.unlisted != nil && !now.Before(*m.unlisted) {
 			continue
 		}
@@ -236,19 +236,19 @@
 		switch {
 		case m.failed != nil && now.After(m.failed.Add(listedDead)):
 			status = "failed"
-		case m.up && !now.Before(m.upAt.Add(w.set.Variation.ListLag)):
+		case m.up && !now.Before(m.upAt.Add(w.setup.Variation.ListLag)):
 			status = "running"
 		}
 		l.Machines = append(l.Machines, protocol.Machine{ID: m.id, Addr: m.addr, Type: m.kind.Type, Zone: m.kind.Zone, Spot: m.kind.Spot,
-			Status: status, AgeS: max(0, now.Sub(m.born)-w.set.Variation.ListLag).Seconds()})
+			Status: status, AgeS: max(0, now.Sub(m.born)-w.setup.Variation.ListLag).Seconds()})
 	}
 	return l
 }
 
 // forget drops machines that are gone and not listed any more, when there are many.
 func (w *World) forget(now time.Time) {
-	if len(w.order) < 2*len(w.machines)+100 {
+	if len(w.machineList) < 2*len(w.machines)+100 {
 		return
 	}
-	w.order = slices.DeleteFunc(w.order, func(m *machine) bool { return m.unlisted != nil && !now.Before(*m.unlisted) })
+	w.machineList = slices.DeleteFunc(w.machineList, func(m *machine) bool { return m.unlisted != nil && !now.Before(*m.unlisted) })
 }
--- a/internal/emulator/durable.go
+++ b/internal/emulator/durable.go
@@ -16,15 +16,14 @@
 	"daledyke/internal/protocol"
 )
 
-// disk keeps the state service's state in a directory: what bbolt has committed is on
-// the disk, so that a process killed at any moment loses nothing that was answered.
-// Changes that come while a commit is under way go with the next one. It is used by one
-// goroutine.
+// disk keeps the state service's state in a directory. What bbolt has committed is on disk, so a
+// process killed at any moment loses nothing that was answered. Changes that arrive during a commit are
+// written by the next one. Only one goroutine uses it.
 type disk struct {
 	db *bolt.DB
 }
 
-// record is what one change of the store leaves on the disk.
+// record is what one change of the store writes to disk.
 type record struct {
 	revision uint64
 	pairs    []protocol.Pair // set
@@ -41,7 +40,7 @@
 	lastLeaseKey = []byte("last-lease")
 )
 
-// openDisk opens or makes the state in a directory.
+// openDisk opens or creates the state in a directory.
 func openDisk(dir string) (*disk, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
@@ -68,8 +67,8 @@
 	return &disk{db}, nil
 }
 
-// load reads the state that was kept. All leases get their full time again, as after
-// an outage; changes from before are no longer told to watches.
+// load reads the stored state. All leases get their full TTL again, as after an outage; watches do not
+// receive changes from before.
 func (d *disk) load(now time.Time) (*store, error) {
 	s := newStore()
 	err := d.db.View(func(tx *bolt.Tx) error {
@@ -77,7 +76,7 @@
 		s.revision, s.lastID = number(meta.Get(revisionKey)), number(meta.Get(lastLeaseKey))
 		err := tx.Bucket(leasesBucket).ForEach(func(k, v []byte) error {
 			ttl := time.Duration(number(v))
-			s.leases[number(k)] = &grant{ttl: ttl, end: now.Add(ttl), keys: map[string]bool{}}
+			s.leases[number(k)] = &lease{ttl: ttl, expiry: now.Add(ttl), keys: map[string]bool{}}
 			return nil
 		})
 		if err != nil {
@@ -96,7 +95,7 @@
 			return nil
 		})
 	})
-	s.oldest = s.revision
+	s.oldestRevision = s.revision
 	return s, err
 }
 
@@ -109,7 +108,7 @@
 
 func bytesOf(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// write commits records, all or none; once it returns they are on the disk.
+// write commits all records or none; after it returns they are on disk.
 func (d *disk) write(records []record) error {
 	return d.db.Update(func(tx *bolt.Tx) error {
 		keys, leases, meta := tx.Bucket(keysBucket), tx.Bucket(leasesBucket), tx.Bucket(metaBucket)
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -39,7 +39,7 @@
 	t.gang = g
 	g.members[t.index] = t
 	if len(g.members) < k.spec.Tasks {
-		t.timer = k.w.loop.after(k.w.set.GangWait, func() { t.leave(causeIncomplete) })
+		t.timer = k.w.loop.after(k.w.setup.GangWait, func() { t.leave(causeIncomplete) })
 		return
 	}
 	g.start()
@@ -103,7 +103,7 @@
 		reached = g.progress()
 	}
 	g.work.saved = max(g.work.saved, g.work.checkpoint(reached))
-	g.work.w.loop.after(g.work.w.set.GangPeer, func() { g.disband(causePeers) })
+	g.work.w.loop.after(g.work.w.setup.GangPeer, func() { g.disband(causePeers) })
 }
 
 // disband ends all tasks that are left, but those on machines that hang: these end when
@@ -144,7 +144,7 @@
 		if len(g.halted) == 0 {
 			g.made = g.progress()
 			g.end.stop()
-			g.work.w.loop.after(g.work.w.set.GangPeer, g.incomplete)
+			g.work.w.loop.after(g.work.w.setup.GangPeer, g.incomplete)
 		}
 		g.halted[t] = true
 		t.State = protocol.TaskFlushing
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -59,7 +59,7 @@
 		return
 	}
 	m.up, m.upAt, m.renewed, m.free = true, time.Now(), time.Now(), m.typ.Room()
-	m.w.whole = m.w.whole.Add(m.free)
+	m.w.totalRoom = m.w.totalRoom.Add(m.free)
 	m.ctx, m.ended = context.WithCancel(m.w.loop.ctx)
 	go m.open()
 }
@@ -79,7 +79,7 @@
 	m.w.loop.do(func() {
 		m.addr = l.Addr().String()
 		m.watchLease()
-		m.w.note(history.Event{Kind: history.WorkerUp, Machine: m.id})
+		m.w.record(history.Event{Kind: history.WorkerUp, Machine: m.id})
 	})
 	go srv.Serve(l)
 	m.report()
@@ -97,14 +97,14 @@
 		close(m.resumed)
 	}
 	if m.up {
-		m.w.whole = m.w.whole.Sub(m.typ.Room())
+		m.w.totalRoom = m.w.totalRoom.Sub(m.typ.Room())
 		m.ended()
 	}
 }
 
 // clear kills and forgets all tasks.
 func (m *machine) clear() {
-	for _, t := range m.sorted() {
+	for _, t := range m.sortedTasks() {
 		if t.State != protocol.TaskExited {
 			t.leave("killed")
 		}
@@ -117,7 +117,7 @@
 	if m.dead {
 		return
 	}
-	if left := m.w.set.Lease - time.Since(m.renewed); left >= 0 {
+	if left := m.w.setup.Lease - time.Since(m.renewed); left >= 0 {
 		m.w.loop.after(left+time.Millisecond, m.watchLease)
 		return
 	}
--- a/internal/emulator/machine_commands.go
+++ b/internal/emulator/machine_commands.go
@@ -56,8 +56,8 @@
 	sent := m.w.Elapsed() // the network takes no time
 	held := false
 	if m.w.loop.do(func() {
-		if held = m.w.held > 0 && m.w.rng.Float64() < m.w.held; held {
-			m.w.loop.after(time.Duration(m.w.spread(2, 16)*float64(time.Second)), func() {
+		if held = m.w.delayedCommandShare > 0 && m.w.rng.Float64() < m.w.delayedCommandShare; held {
+			m.w.loop.after(time.Duration(m.w.uniform(2, 16)*float64(time.Second)), func() {
 				if !m.hung && !m.deaf && !m.dead && o.Token >= m.token && o.Session == m.session {
 					m.token = o.Token
 					m.obey(o.Commands, sent)
--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -20,7 +20,7 @@
 	at := time.Now().Add(m.w.lag())
 	m.unlisted = &at
 	delete(m.w.machines, m.id)
-	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: why})
+	m.w.record(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: why})
 }
 
 // fail has the machine stop on its own: it stays listed until it is deleted.
@@ -32,7 +32,7 @@
 	m.w.charge(m, -1)
 	now := time.Now()
 	m.failed = &now
-	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: "died"})
+	m.w.record(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: "died"})
 }
 
 func (m *machine) hang() {
@@ -42,7 +42,7 @@
 	if m.hung = true; !m.deaf {
 		m.resumed = make(chan struct{})
 	}
-	for _, t := range m.sorted() {
+	for _, t := range m.sortedTasks() {
 		t.pause()
 	}
 	m.fetchOn()
@@ -56,7 +56,7 @@
 		close(m.resumed)
 	}
 	m.fetchedTo = time.Now()
-	for _, t := range m.sorted() {
+	for _, t := range m.sortedTasks() {
 		t.goOn()
 	}
 	m.fetchOn()
@@ -95,7 +95,7 @@
 
 // slowDown changes the machine's speed while its tasks run.
 func (m *machine) slowDown(factor float64) {
-	running := m.sorted()
+	running := m.sortedTasks()
 	for _, t := range running {
 		t.pause()
 	}
--- a/internal/emulator/machine_images.go
+++ b/internal/emulator/machine_images.go
@@ -33,7 +33,7 @@
 	m.fetchedTo = now
 	m.fetchTimer.stop()
 	wanted := map[string][]*task{}
-	for _, t := range m.sorted() {
+	for _, t := range m.sortedTasks() {
 		if t.State == protocol.TaskPulling {
 			wanted[t.work.spec.Image] = append(wanted[t.work.spec.Image], t)
 		}
--- a/internal/emulator/machine_reports.go
+++ b/internal/emulator/machine_reports.go
@@ -22,7 +22,7 @@
 		left := max(0, time.Until(*m.leaves)).Seconds()
 		r.NoticeS = &left
 	}
-	for _, t := range m.sorted() {
+	for _, t := range m.sortedTasks() {
 		r.Tasks = append(r.Tasks, t.TaskReport)
 	}
 	return r
@@ -37,20 +37,20 @@
 		var resumed chan struct{}
 		var node, addr string
 		boots := 0
-		every := m.w.set.ReportEvery
+		every := m.w.setup.ReportEvery
 		if !m.w.loop.do(func() {
 			if resumed = m.resumed; m.hung || m.dead {
 				return
 			}
 			rep, boots = m.snapshot(), m.boots
-			node = m.w.set.Controllers[m.node]
-			if addr = m.w.fronts[node]; m.mute {
+			node = m.w.setup.Controllers[m.node]
+			if addr = m.w.controllerAddrs[node]; m.mute {
 				addr = "" // no connection can be opened
 			} else {
 				m.echo(rep)
 			}
-			if m.w.set.Variation.Reports {
-				every = time.Duration(float64(every) * m.w.spread(0.75, 1.25))
+			if m.w.setup.Variation.Reports {
+				every = time.Duration(float64(every) * m.w.uniform(0.75, 1.25))
 			}
 		}) || m.ctx.Err() != nil {
 			return
@@ -83,15 +83,15 @@
 
 // echo has a copy of a report come later, or kept, if that is the world's present trouble.
 func (m *machine) echo(rep protocol.Report) {
-	if _, kept := m.w.kept[m.id]; m.w.keeps && !kept {
-		m.w.kept[m.id] = rep
+	if _, kept := m.w.keptReports[m.id]; m.w.keepReports && !kept {
+		m.w.keptReports[m.id] = rep
 	}
-	if m.w.echo <= 0 {
+	if m.w.duplicateDelay <= 0 {
 		return
 	}
-	to := m.w.fronts[m.w.set.Controllers[m.w.rng.IntN(len(m.w.set.Controllers))]]
+	to := m.w.controllerAddrs[m.w.setup.Controllers[m.w.rng.IntN(len(m.w.setup.Controllers))]]
 	w := m.w
-	w.loop.after(w.echo, func() {
+	w.loop.after(w.duplicateDelay, func() {
 		go func() {
 			c := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer(rep.Machine), DisableKeepAlives: true}}
 			request(w.loop.ctx, c, http.MethodPost, "http://"+to+"/checkin", rep, reportAnswer) // nobody hears the answer
@@ -118,7 +118,7 @@
 	wait = nextNode
 	lost := false // it goes to another node
 	m.w.loop.do(func() {
-		next := (m.node + 1) % len(m.w.set.Controllers)
+		next := (m.node + 1) % len(m.w.setup.Controllers)
 		switch status {
 		case http.StatusOK:
 			var a protocol.ReportAnswer
@@ -126,7 +126,7 @@
 			if json.Unmarshal(body, &a) != nil || a.Token < m.token || rep.Session != m.session || m.hung || m.dead || boots != m.boots {
 				return
 			}
-			if a.Token > m.token && time.Since(m.told) >= m.w.set.Lease/2 {
+			if a.Token > m.token && time.Since(m.told) >= m.w.setup.Lease/2 {
 				m.told = time.Now()
 				m.say()
 			}
@@ -136,7 +136,7 @@
 		case http.StatusMisdirectedRequest:
 			var red protocol.Redirect
 			if json.Unmarshal(body, &red) == nil && red.Node != "" && red.Node != node {
-				if at := slices.Index(m.w.set.Controllers, red.Node); at >= 0 {
+				if at := slices.Index(m.w.setup.Controllers, red.Node); at >= 0 {
 					next, wait = at, redirected
 				}
 			}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -10,26 +10,25 @@
 	"daledyke/internal/transport"
 )
 
-// Network is what the parts of a world speak over.
+// Network connects the parts of a world.
 type Network interface {
-	// Listen opens the place of a name, such as front-c0; its address is that of the
-	// listener.
+	// Listen opens a listener with a name such as front-c0; its address is that of the listener.
 	Listen(name string) (net.Listener, error)
-	// Dialer is how the named host opens connections.
+	// Dialer returns the function with which the named host opens connections.
 	Dialer(from string) transport.Dialer
 }
 
-// Loopback is TCP on this machine: names get ports that are free.
+// Loopback is TCP on this machine; each listener gets a free port.
 type Loopback struct{}
 
-// Listen opens a free port.
+// Listen listens on a free port.
 func (Loopback) Listen(string) (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
-// Dialer dials TCP.
+// Dialer returns a TCP dialer.
 func (Loopback) Dialer(string) transport.Dialer { return transport.NetDialer() }
 
-// Pipes is a network in memory, for virtual time: NAME listens at NAME:1, and
-// connections between hosts can be cut. It is an actor; use NewPipes.
+// Pipes is an in-memory network for virtual time: NAME listens at NAME:1, and connections between hosts can
+// be blocked. It is an actor; create it with NewPipes.
 type Pipes struct {
 	told      chan func()
 	ctx       context.Context
@@ -38,12 +37,12 @@
 	cut       func(from, to string) bool
 }
 
-// silence is how long a connection that is cut stays silent before its attempt ends.
+// silence is how long a dial over a blocked connection waits before it fails.
 const silence = 2 * time.Second
 
 var errRefused = errors.New("connection refused")
 
-// NewPipes makes a network without listeners, which lives as long as ctx.
+// NewPipes returns a network without listeners, which runs until ctx ends.
 func NewPipes(ctx context.Context) *Pipes {
 	n := &Pipes{told: make(chan func()), ctx: ctx, listeners: map[string]*pipeListener{}, conns: map[*pipeConn]bool{},
 		cut: func(string, string) bool { return false }}
@@ -66,9 +65,9 @@
 	return n
 }
 
-// do runs f on the network's goroutine and waits for it; not once the network has ended.
-// It is called under locks of net/http, so that it must not wait for time to pass: in
-// virtual time none does while somebody waits for a lock.
+// do runs f on the network's goroutine and waits for it, unless the network has ended. net/http calls it
+// while it holds locks, so it must not wait for time to pass: virtual time stops while a goroutine waits for
+// a lock.
 func (n *Pipes) do(f func()) {
 	done := make(chan struct{})
 	select {
@@ -96,14 +95,14 @@
 	net      *Pipes
 }
 
-// Close takes the connection off the network's list.
+// Close closes the connection and removes it from the network's list.
 func (c *pipeConn) Close() error {
 	err := c.Conn.Close()
 	c.net.do(func() { delete(c.net.conns, c) })
 	return err
 }
 
-// Listen opens NAME:1.
+// Listen listens at NAME:1.
 func (n *Pipes) Listen(name string) (net.Listener, error) {
 	l := &pipeListener{net: n, at: name + ":1", conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.do(func() { n.listeners[l.at] = l })
@@ -119,7 +118,7 @@
 	}
 }
 
-// end closes the listener, on the network's goroutine.
+// end closes the listener; it runs on the network's goroutine.
 func (l *pipeListener) end() {
 	select {
 	case <-l.closed:
@@ -138,7 +137,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return pipeAddr(l.at) }
 
-// Dialer opens pipes; an attempt that is cut stays silent.
+// Dialer returns a dialer for pipes. A dial over a blocked connection times out.
 func (n *Pipes) Dialer(from string) transport.Dialer {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		var l *pipeListener
@@ -168,9 +167,9 @@
 	}
 }
 
-// StartController runs a controller on the network: run is given the listeners of its doors,
-// front-NAME and inner-NAME. kill ends run's context, closes the doors and breaks all its
-// connections, as the end of its process would.
+// StartController runs a controller on the network: run receives its listeners front-NAME and inner-NAME.
+// kill ends run's context, closes the listeners and breaks all its connections, as the end of its process
+// would.
 func (n *Pipes) StartController(name string, run func(ctx context.Context, front, inner net.Listener)) (kill func(), err error) {
 	front, err1 := n.Listen("front-" + name)
 	inner, err2 := n.Listen("inner-" + name)
@@ -187,14 +186,14 @@
 	}, nil
 }
 
-// Partition sets which connections are cut, by the host that opens them and the address,
-// and breaks those that are open.
+// Partition sets which connections are blocked, by the host that opens them and the address, and closes the
+// open ones among them.
 func (n *Pipes) Partition(cut func(from, to string) bool) {
 	n.do(func() { n.cut = cut })
 	n.CloseConns(cut)
 }
 
-// CloseConns ends the open connections that are chosen.
+// CloseConns closes the open connections for which which returns true.
 func (n *Pipes) CloseConns(which func(from, to string) bool) {
 	var broken []*pipeConn
 	n.do(func() {
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -13,7 +13,7 @@
 	"daledyke/internal/protocol"
 )
 
-// State is the state service. Its loop owns the store and all troubles.
+// State is the state service. Its loop owns the store and all injected faults.
 type State struct {
 	loop    *loop
 	store   *store
@@ -23,37 +23,37 @@
 	writes  *rate.Limiter
 	changed chan struct{} // closed at the next change
 	down    bool
-	refuses map[string]bool
-	// starved are controllers whose renewals of leases are refused for the rate.
-	starved map[string]bool
-	lags    map[string]time.Duration
-	slow    time.Duration
-	late    time.Duration
-	unheard float64 // share of transactions whose answers are lost
-	// losesNext are the prefixes of keys of which a controller's next change is carried out and its
-	// answer lost.
-	losesNext map[string]string
-	rng       *rand.Rand
-	page      int
-	counts    StateCounts
-	// unsaved are changes that go with the next commit, which closes next; current
-	// is closed by the commit under way. Each is nil if there is none.
-	unsaved       []record
-	next, current chan struct{}
+	refused map[string]bool
+	// renewalsRefused are the controllers whose lease renewals are refused as over the rate limit.
+	renewalsRefused map[string]bool
+	watchDelays     map[string]time.Duration
+	answerDelay     time.Duration
+	txnDelay        time.Duration
+	dropShare       float64 // share of transactions whose answers are dropped
+	// dropNextPrefix holds key prefixes by controller: the next transaction of the controller that sets such
+	// a key is carried out, and its answer is dropped.
+	dropNextPrefix map[string]string
+	rng            *rand.Rand
+	maxPage        int
+	counts         StateCounts
+	// unwritten are changes that the next commit writes; that commit closes nextCommit. The commit in
+	// progress closes currentCommit. Each channel is nil if there is no such commit.
+	unwritten                 []record
+	nextCommit, currentCommit chan struct{}
 }
 
-// StateCounts are what the state service was asked. Changes are those that were made.
+// StateCounts counts requests to the state service. Changes counts the changes that were applied.
 type StateCounts struct {
 	Requests, Changes, Malformed, Refused int
 }
 
-// expiryEvery is how often leases are looked at: they may end 100 ms late.
-const expiryEvery = 50 * time.Millisecond
+// expiryInterval is how often leases are checked for expiry; the protocol allows them to end 100 ms late.
+const expiryInterval = 50 * time.Millisecond
 
-// NewState makes a state service that lives as long as ctx. With a directory it goes
-// on with the state that is kept there.
+// NewState returns a state service that runs until ctx ends. With a directory it starts from the state that
+// is stored there, and stores its state there.
 func NewState(ctx context.Context, l Limits, dir string) (*State, error) {
-	s := &State{store: newStore(), changed: make(chan struct{}), refuses: map[string]bool{}, starved: map[string]bool{}, losesNext: map[string]string{}, lags: map[string]time.Duration{}, page: pageKeys, rng: rand.New(rand.NewPCG(0, 0x57a7e))}
+	s := &State{store: newStore(), changed: make(chan struct{}), refused: map[string]bool{}, renewalsRefused: map[string]bool{}, dropNextPrefix: map[string]string{}, watchDelays: map[string]time.Duration{}, maxPage: maxPageKeys, rng: rand.New(rand.NewPCG(0, 0x57a7e))}
 	if dir != "" {
 		var err error
 		if s.disk, err = openDisk(dir); err != nil {
@@ -64,7 +64,7 @@
 			return nil, err
 		}
 	}
-	s.limit(l)
+	s.applyLimits(l)
 	s.loop = newLoop(ctx)
 	if s.disk != nil {
 		context.AfterFunc(ctx, func() { s.disk.close() })
@@ -73,75 +73,78 @@
 	return s, nil
 }
 
-func (s *State) limit(l Limits) {
-	s.limits, s.reads, s.writes = l, bucket(l.RPS, 1), bucket(l.WriteRPS, 1)
+func (s *State) applyLimits(l Limits) {
+	s.limits, s.reads, s.writes = l, newLimiter(l.RPS, 1), newLimiter(l.WriteRPS, 1)
 }
 
-// bucket bounds a rate, with bursts of so many seconds' worth; 0 does not.
-func bucket(perSecond, burstS float64) *rate.Limiter {
+// newLimiter limits a rate, with bursts of burstS seconds' worth; 0 is unlimited.
+func newLimiter(perSecond, burstS float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(burstS*perSecond)))
 }
 
-// SetLimits sets the limits that hold from now on.
-func (s *State) SetLimits(l Limits) { s.loop.do(func() { s.limit(l) }) }
+// SetLimits sets the limits that apply from now on.
+func (s *State) SetLimits(l Limits) { s.loop.do(func() { s.applyLimits(l) }) }
 
-// SetOutage takes the service away from all, or gives it back: then all leases get their
-// full time again.
+// SetOutage makes the service unavailable to all controllers, or restores it. When it is restored, all
+// leases get their full TTL again.
 func (s *State) SetOutage(down bool) {
 	s.loop.do(func() {
 		if s.down && !down {
 			s.store.renewAll(time.Now())
-			s.wake()
+			s.wakeWatches()
 		}
 		s.down = down
 	})
 }
 
-// SetRefused has one controller get 503 while the others are served.
+// SetRefused makes the service answer 503 to one controller while the others are served.
 func (s *State) SetRefused(node string, refuse bool) {
-	s.loop.do(func() { s.refuses[node] = refuse; s.wake() })
+	s.loop.do(func() { s.refused[node] = refuse; s.wakeWatches() })
 }
 
-// RefuseRenewals has a controller's renewals of leases refused for the rate, while all else it asks is served.
+// RefuseRenewals refuses a controller's lease renewals as over the rate limit while its other requests are
+// served.
 func (s *State) RefuseRenewals(node string, starve bool) {
-	s.loop.do(func() { s.starved[node] = starve })
+	s.loop.do(func() { s.renewalsRefused[node] = starve })
 }
 
-// DelayWatches has a controller's watches tell it of changes so much later.
-func (s *State) DelayWatches(node string, by time.Duration) { s.loop.do(func() { s.lags[node] = by }) }
+// DelayWatches delays the changes that a controller's watches receive.
+func (s *State) DelayWatches(node string, by time.Duration) {
+	s.loop.do(func() { s.watchDelays[node] = by })
+}
 
-// DelayAnswers has all answers take so long.
-func (s *State) DelayAnswers(by time.Duration) { s.loop.do(func() { s.slow = by }) }
+// DelayAnswers delays all answers.
+func (s *State) DelayAnswers(by time.Duration) { s.loop.do(func() { s.answerDelay = by }) }
 
-// DelayTransactions has transactions applied so much later, without an answer to their sender; 0
-// ends it.
-func (s *State) DelayTransactions(by time.Duration) { s.loop.do(func() { s.late = by }) }
+// DelayTransactions applies transactions after a delay and drops their answers; 0 ends it.
+func (s *State) DelayTransactions(by time.Duration) { s.loop.do(func() { s.txnDelay = by }) }
 
-// DropAnswers has that share of transactions carried out at once, and their answers lost; 0 ends
-// it.
-func (s *State) DropAnswers(share float64) { s.loop.do(func() { s.unheard = share }) }
+// DropAnswers carries out a share of the transactions at once and drops their answers; 0 ends it.
+func (s *State) DropAnswers(share float64) { s.loop.do(func() { s.dropShare = share }) }
 
-// DropNextAnswer has the next transaction of a controller that changes a key with the prefix carried out at
-// once, and its answer lost.
-func (s *State) DropNextAnswer(node, prefix string) { s.loop.do(func() { s.losesNext[node] = prefix }) }
+// DropNextAnswer carries out the next transaction of a controller that sets a key with the prefix at once
+// and drops its answer.
+func (s *State) DropNextAnswer(node, prefix string) {
+	s.loop.do(func() { s.dropNextPrefix[node] = prefix })
+}
 
-// SetPageSize bounds the keys on a page of a listing.
-func (s *State) SetPageSize(most int) { s.loop.do(func() { s.page = most }) }
+// SetPageSize limits the keys on a page of a listing.
+func (s *State) SetPageSize(most int) { s.loop.do(func() { s.maxPage = most }) }
 
-// Counts are what the service was asked so far.
+// Counts returns the counts so far.
 func (s *State) Counts() (c StateCounts) {
 	s.loop.do(func() { c = s.counts; c.Changes = s.store.changes })
 	return c
 }
 
-// Edit changes values as another version of a program would have left them: f is given
-// each key with the prefix and its value as JSON, and gives the changes.
+// Edit changes values as another version of a program would have left them: f receives each key with the
+// prefix and its value as JSON, and returns the changes.
 func (s *State) Edit(prefix string, f func(key string, value json.RawMessage, lease uint64) ([]protocol.Change, error)) (err error) {
 	s.loop.do(func() {
-		for _, p := range s.store.list(prefix, "", pageKeys).Pairs {
+		for _, p := range s.store.list(prefix, "", maxPageKeys).Pairs {
 			changes, bad := f(p.Key, p.Value, p.Lease)
 			if err = errors.Join(err, bad); bad != nil {
 				continue
@@ -158,45 +161,45 @@
 	return err
 }
 
-// expire ends the leases that are over, and looks again.
+// expire ends the expired leases and schedules the next check.
 func (s *State) expire() {
 	if !s.down {
-		for _, id := range s.store.overdue(time.Now()) {
-			s.end(id)
+		for _, id := range s.store.expired(time.Now()) {
+			s.endLease(id)
 		}
 	}
-	s.loop.after(expiryEvery, s.expire)
+	s.loop.after(expiryInterval, s.expire)
 }
 
-// end ends a lease, on the loop.
-func (s *State) end(id uint64) {
+// endLease ends a lease; it runs on the loop.
+func (s *State) endLease(id uint64) {
 	drops := s.store.endLease(id)
 	r := record{revision: s.store.revision, lease: id, ttl: -1}
 	for _, d := range drops {
 		r.drops = append(r.drops, d.Drop)
 	}
-	s.keep(r)
+	s.persist(r)
 	if len(drops) > 0 {
-		s.wake()
+		s.wakeWatches()
 	}
 }
 
-func (s *State) wake() {
+func (s *State) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// apply makes changes whose conditions held, on the loop.
+// apply makes changes without checking conditions; it runs on the loop.
 func (s *State) apply(puts []put) {
 	if len(puts) == 0 {
 		return
 	}
 	s.store.apply(puts)
-	s.applied(puts)
+	s.recordChanges(puts)
 }
 
-// applied notes changes that were made.
-func (s *State) applied(puts []put) {
+// recordChanges persists changes that were recordChanges and wakes the watches.
+func (s *State) recordChanges(puts []put) {
 	r := record{revision: s.store.revision}
 	for _, c := range puts {
 		if c.Drop != "" {
@@ -205,28 +208,28 @@
 		}
 		r.pairs = append(r.pairs, protocol.Pair{Key: c.Set, Value: c.Value, Version: s.store.revision, Lease: c.Lease})
 	}
-	s.keep(r)
-	s.wake()
+	s.persist(r)
+	s.wakeWatches()
 }
 
-// keep has a record written. While one commit is under way, more are gathered for the
-// next, so that a slow disk costs no more than two commits of waiting.
-func (s *State) keep(r record) {
+// persist queues a record for writing. Records that arrive during a commit are collected for the next one,
+// so a slow disk delays an answer by at most two commits.
+func (s *State) persist(r record) {
 	if s.disk == nil {
 		return
 	}
-	if s.unsaved = append(s.unsaved, r); s.next == nil {
-		s.next = make(chan struct{})
+	if s.unwritten = append(s.unwritten, r); s.nextCommit == nil {
+		s.nextCommit = make(chan struct{})
 	}
-	s.save()
+	s.startCommit()
 }
 
-func (s *State) save() {
-	if s.current != nil || len(s.unsaved) == 0 {
+func (s *State) startCommit() {
+	if s.currentCommit != nil || len(s.unwritten) == 0 {
 		return
 	}
-	records := s.unsaved
-	s.current, s.unsaved, s.next = s.next, nil, nil
+	records := s.unwritten
+	s.currentCommit, s.unwritten, s.nextCommit = s.nextCommit, nil, nil
 	go func() {
 		err := s.disk.write(records)
 		if err != nil {
@@ -234,23 +237,23 @@
 			return
 		}
 		s.loop.do(func() {
-			close(s.current)
-			s.current = nil
-			s.save()
+			close(s.currentCommit)
+			s.currentCommit = nil
+			s.startCommit()
 		})
 	}()
 }
 
-// kept is closed once all that was changed until now is on the disk; nil if it is.
-func (s *State) kept() <-chan struct{} {
-	if s.next != nil {
-		return s.next
+// persisted returns a channel that closes once all changes until now are on disk; nil if they already are.
+func (s *State) persisted() <-chan struct{} {
+	if s.nextCommit != nil {
+		return s.nextCommit
 	}
-	return s.current
+	return s.currentCommit
 }
 
-// The least and the most that a lease may last.
+// The range of lease TTLs.
 const (
-	leastTTL = 100 * time.Millisecond
-	mostTTL  = 600 * time.Second
+	minTTL = 100 * time.Millisecond
+	maxTTL = 600 * time.Second
 )
--- a/internal/emulator/state_http.go
+++ b/internal/emulator/state_http.go
@@ -16,33 +16,33 @@
 	"daledyke/internal/protocol"
 )
 
-// The state service as controllers reach it.
+// HTTP API of the state service.
 
-// stateDoor is the state service as one node reaches it.
-type stateDoor struct {
+// nodeHandler serves the state service's API to one node.
+type nodeHandler struct {
 	*State
 	node string
 }
 
-// losesAnswer tells whether the answer to a transaction is lost, on the loop.
-func (s stateDoor) losesAnswer(t *txn) bool {
-	if prefix, next := s.losesNext[s.node]; next && slices.ContainsFunc(t.Then, func(c put) bool { return strings.HasPrefix(c.Set, prefix) && prefix != "" }) {
-		delete(s.losesNext, s.node)
+// dropsAnswer reports whether the answer to a transaction is dropped; it runs on the loop.
+func (s nodeHandler) dropsAnswer(t *txn) bool {
+	if prefix, next := s.dropNextPrefix[s.node]; next && slices.ContainsFunc(t.Then, func(c put) bool { return strings.HasPrefix(c.Set, prefix) && prefix != "" }) {
+		delete(s.dropNextPrefix, s.node)
 		return true
 	}
-	return s.unheard > 0 && s.rng.Float64() < s.unheard
+	return s.dropShare > 0 && s.rng.Float64() < s.dropShare
 }
 
-// serve does f on the loop, if the node is served at all, and answers what it gives
-// once all that the answer tells is on the disk.
-func (s stateDoor) serve(w http.ResponseWriter, r *http.Request, f func() (status int, body any)) {
+// serve runs f on the loop, unless the node is refused, and writes f's answer once all changes that the
+// answer reflects are on disk.
+func (s nodeHandler) serve(w http.ResponseWriter, r *http.Request, f func() (status int, body any)) {
 	status, body, delay := http.StatusServiceUnavailable, any(nil), time.Duration(0)
 	var kept <-chan struct{}
 	s.loop.do(func() {
 		if status, body = s.admit(); status == 0 {
 			status, body = f()
 		}
-		kept, delay = s.kept(), s.slow
+		kept, delay = s.persisted(), s.answerDelay
 	})
 	if kept != nil {
 		select {
@@ -57,11 +57,11 @@
 	answer(w, status, body)
 }
 
-// admit counts a request; a status other than 0 refuses it. On the loop.
-func (s stateDoor) admit() (int, any) {
+// admit counts a request; a status other than 0 refuses it. It runs on the loop.
+func (s nodeHandler) admit() (int, any) {
 	s.counts.Requests++
 	switch {
-	case s.down || s.refuses[s.node]:
+	case s.down || s.refused[s.node]:
 		s.counts.Refused++
 		return http.StatusServiceUnavailable, nil
 	case !s.reads.Allow():
@@ -71,23 +71,23 @@
 	return 0, nil
 }
 
-func (s stateDoor) malformed(err error) (int, any) {
+func (s nodeHandler) malformed(err error) (int, any) {
 	s.counts.Malformed++
 	return http.StatusBadRequest, problem(err.Error())
 }
 
-func (s stateDoor) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s nodeHandler) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
 	most, _ := strconv.Atoi(q.Get("limit"))
 	s.serve(w, r, func() (int, any) {
 		if most <= 0 {
-			most = pageKeys
+			most = maxPageKeys
 		}
-		return http.StatusOK, s.store.list(q.Get("prefix"), q.Get("from"), min(most, s.page))
+		return http.StatusOK, s.store.list(q.Get("prefix"), q.Get("from"), min(most, s.maxPage))
 	})
 }
 
-func (s stateDoor) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s nodeHandler) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	key := strings.TrimPrefix(p.ByName("key"), "/")
 	s.serve(w, r, func() (int, any) {
 		if pair, ok := s.store.get(key); ok {
@@ -97,13 +97,13 @@
 	})
 }
 
-func (s stateDoor) multi(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s nodeHandler) commit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	t := &txn{}
 	err := read(r, t)
 	var late time.Duration
 	unheard := false
-	s.loop.do(func() { late, unheard = s.late, s.losesAnswer(t) })
-	if late > 0 && err == nil { // it is under way for so long, and its sender hears nothing
+	s.loop.do(func() { late, unheard = s.txnDelay, s.dropsAnswer(t) })
+	if late > 0 && err == nil { // applied after the delay; the sender gets no answer
 		s.loop.do(func() {
 			s.loop.after(late, func() {
 				if status, _ := s.admit(); status == 0 {
@@ -129,9 +129,9 @@
 	}
 }
 
-// transact carries a transaction out, on the loop.
-func (s stateDoor) transact(t *txn) (int, any) {
-	if err := t.check(s.limits); err != nil {
+// transact carries out a transaction; it runs on the loop.
+func (s nodeHandler) transact(t *txn) (int, any) {
+	if err := t.validate(s.limits); err != nil {
 		return s.malformed(err)
 	}
 	if n := len(t.Then); n > 0 && !s.writes.AllowN(time.Now(), n) {
@@ -146,51 +146,51 @@
 		return http.StatusConflict, protocol.TxnAnswer{Revision: s.store.revision, Failed: failed}
 	}
 	if len(t.Then) > 0 {
-		s.applied(t.Then)
+		s.recordChanges(t.Then)
 	}
 	return http.StatusOK, protocol.TxnAnswer{Revision: s.store.revision}
 }
 
-func (s stateDoor) open(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s nodeHandler) open(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var q protocol.LeaseRequest
 	err := read(r, &q)
 	ttl := time.Duration(q.TTLMs) * time.Millisecond
 	s.serve(w, r, func() (int, any) {
-		if err != nil || ttl < leastTTL || ttl > mostTTL {
+		if err != nil || ttl < minTTL || ttl > maxTTL {
 			return s.malformed(errMalformed)
 		}
 		id := s.store.openLease(ttl, time.Now())
-		s.keep(record{revision: s.store.revision, lease: id, ttl: ttl})
+		s.persist(record{revision: s.store.revision, lease: id, ttl: ttl})
 		return http.StatusOK, protocol.LeaseAnswer{Lease: id}
 	})
 }
 
-func (s stateDoor) touch(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s nodeHandler) touch(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	id, err := strconv.ParseUint(p.ByName("id"), 10, 64)
 	s.serve(w, r, func() (int, any) {
-		if s.starved[s.node] {
+		if s.renewalsRefused[s.node] {
 			s.counts.Refused++
 			return http.StatusTooManyRequests, nil
 		}
-		if err != nil || !s.store.touch(id, time.Now()) {
+		if err != nil || !s.store.renew(id, time.Now()) {
 			return http.StatusNotFound, problem(errNoLease.Error())
 		}
 		return http.StatusOK, struct{}{}
 	})
 }
 
-func (s stateDoor) end(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s nodeHandler) end(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	id, err := strconv.ParseUint(p.ByName("id"), 10, 64)
 	s.serve(w, r, func() (int, any) {
 		if err != nil || s.store.leases[id] == nil {
 			return http.StatusNotFound, problem(errNoLease.Error())
 		}
-		s.State.end(id)
+		s.State.endLease(id)
 		return http.StatusOK, struct{}{}
 	})
 }
 
-func (s stateDoor) watch(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s nodeHandler) watch(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
 	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
 	block, _ := strconv.ParseInt(q.Get("blockMs"), 10, 64)
@@ -212,8 +212,8 @@
 		var lag time.Duration
 		silent := false
 		if !s.loop.do(func() {
-			if changed, lag, kept = s.changed, s.lags[s.node]+s.slow, s.kept(); s.down || s.refuses[s.node] {
-				silent = true // it waits on, as in an outage
+			if changed, lag, kept = s.changed, s.watchDelays[s.node]+s.answerDelay, s.persisted(); s.down || s.refused[s.node] {
+				silent = true // keep waiting, as in an outage
 				return
 			}
 			found.Revision = s.store.revision
@@ -242,7 +242,7 @@
 		case <-changed:
 		case <-end.C:
 			over = true
-			if silent { // an outage outlasts the watch: it is told nothing
+			if silent { // the outage outlasts the watch: no answer
 				panic(http.ErrAbortHandler)
 			}
 		case <-r.Context().Done():
@@ -251,14 +251,14 @@
 	}
 }
 
-// Handler serves one controller, or whoever else is called node.
+// Handler returns the API for one controller, or for any other client called node.
 func (s *State) Handler(node string) http.Handler {
 	r := httprouter.New()
 	r.RedirectTrailingSlash = false
-	q := stateDoor{s, node}
+	q := nodeHandler{s, node}
 	r.GET("/keys", q.list)
 	r.GET("/keys/*key", q.get)
-	r.POST("/multi", q.multi)
+	r.POST("/multi", q.commit)
 	r.POST("/leases", q.open)
 	r.POST("/leases/:id/touch", q.touch)
 	r.DELETE("/leases/:id", q.end)
@@ -266,7 +266,7 @@
 	return r
 }
 
-// Sleep waits, unless the context ends first.
+// Sleep waits for d; it returns false if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -280,7 +280,7 @@
 
 func problem(what string) map[string]string { return map[string]string{"error": what} }
 
-// answer writes a response; a body that can't be written is its reader's loss.
+// answer writes a response. Write errors are ignored: the client sees a broken connection.
 func answer(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	if body != nil {
@@ -299,14 +299,14 @@
 	return json.Unmarshal(raw, into)
 }
 
-// maxRequest bounds a request body.
+// maxRequest limits a request body.
 const maxRequest = protocol.MaxBody + 1
 
-// deafWriter takes an answer that its receiver never hears.
+// deafWriter discards an answer that is dropped.
 type deafWriter struct{ http.ResponseWriter }
 
 func (deafWriter) WriteHeader(int)               {}
 func (deafWriter) Write(raw []byte) (int, error) { return len(raw), nil }
 
-// mostBlock bounds how long a watch waits.
+// mostBlock limits how long a watch waits.
 const mostBlock = time.Minute
--- a/internal/emulator/state_test.go
+++ b/internal/emulator/state_test.go
@@ -20,7 +20,7 @@
 	"daledyke/internal/transport"
 )
 
-// client speaks to the state service as controllers do, and notes what it saw.
+// client sends requests to the state service as controllers do, and records the answers.
 type client struct {
 	*transport.State
 	number int
@@ -71,9 +71,8 @@
 	c.ops = append(c.ops, op)
 }
 
-// Whatever happens to it, the state service answers as one store that does one thing
-// after the other: while it is slow, away, refuses a node, or applies late what was given
-// up.
+// The state service is linearizable while answers are slow or dropped, during outages, while one node is
+// refused, and when transactions are applied after their sender gave up.
 func TestStateServiceIsLinearizable(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
@@ -132,12 +131,12 @@
 			for range clients {
 				<-over
 			}
-			time.Sleep(5 * time.Second) // what is late is applied
+			time.Sleep(5 * time.Second) // until delayed transactions are applied
 			var ops []history.StateOp
 			unanswered := 0
 			for n, c := range clients {
 				for k, op := range c.ops {
-					if op.Return == 0 { // a client goes on without the answer: as another one
+					if op.Return == 0 { // without an answer the client continues as another client
 						unanswered++
 						op.Client = 100 + 100*n + k
 					}
@@ -155,8 +154,8 @@
 	}
 }
 
-// served, set for a process of this test, is the directory in which it serves the state
-// until it is killed.
+// served names the variable that a subprocess of this test gets: the directory from which it serves the
+// state until it is killed.
 const served = "DALEDYKE_TEST_STATE"
 
 func TestMain(m *testing.M) {
@@ -177,8 +176,8 @@
 	os.Exit(m.Run())
 }
 
-// A state service that is killed in the middle of its work has lost nothing that it
-// answered, and holds nothing in part, once it is back.
+// A state service that is killed during its work loses nothing that it answered, and restarts without
+// partial transactions.
 func TestKilledStateServiceLosesNothingAnswered(t *testing.T) {
 	dir := t.TempDir()
 	const pairs = 6
@@ -257,7 +256,7 @@
 	}
 }
 
-// A state that another process uses, and one that is none, are told by a clear error.
+// A state directory that is in use or corrupt is reported by a clear error.
 func TestStateDirectoryInUse(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -12,20 +12,20 @@
 	"daledyke/internal/protocol"
 )
 
-// keptEvents is how many changes the state service keeps for watches.
-const keptEvents = 10_000
+// maxEvents is the number of changes that the state service keeps for watches.
+const maxEvents = 10_000
 
-// What a listing gives at most.
+// Limits of one page of a listing.
 const (
-	pageKeys  = 1000
-	pageBytes = 512 << 10
+	maxPageKeys  = 1000
+	maxPageBytes = 512 << 10
 )
 
-// Limits are what the state service enforces; they may change at any time.
+// Limits are the limits that the state service enforces; they may change at any time.
 type Limits struct {
-	// RPS and WriteRPS bound requests and changes a second, 0 not at all.
+	// RPS and WriteRPS limit requests and changes per second; 0 is unlimited.
 	RPS, WriteRPS float64
-	// ValueKB bounds a value and TxnOps the changes of a transaction.
+	// ValueKB limits the size of a value, TxnOps the changes of a transaction.
 	ValueKB float64
 	TxnOps  int
 }
@@ -36,35 +36,35 @@
 	errTooOld    = errors.New("changes no longer kept")
 )
 
-// store is the state of the state service, as a plain machine: what it does depends on
-// what it is given alone, and on the time it is told.
+// store is the deterministic state machine of the state service: its behaviour depends only on its inputs
+// and on the times passed to it.
 type store struct {
-	keys     *btree.BTreeG[*protocol.Pair]
-	revision uint64
-	events   []protocol.Event // the newest keptEvents, maybe some more
-	oldest   uint64           // watches from before this revision are too old
-	leases   map[uint64]*grant
-	lastID   uint64
-	changes  int
+	keys           *btree.BTreeG[*protocol.Pair]
+	revision       uint64
+	events         []protocol.Event // the newest maxEvents, possibly some more
+	oldestRevision uint64           // watches from before this revision fail
+	leases         map[uint64]*lease
+	lastID         uint64
+	changes        int
 }
 
-// grant is a lease and the keys that go with it.
-type grant struct {
-	ttl  time.Duration
-	end  time.Time
-	keys map[string]bool
+// lease is a lease and the keys bound to it.
+type lease struct {
+	ttl    time.Duration
+	expiry time.Time
+	keys   map[string]bool
 }
 
 func newStore() *store {
-	return &store{keys: btree.NewG(32, func(a, b *protocol.Pair) bool { return a.Key < b.Key }), leases: map[uint64]*grant{}}
+	return &store{keys: btree.NewG(32, func(a, b *protocol.Pair) bool { return a.Key < b.Key }), leases: map[uint64]*lease{}}
 }
 
 func (s *store) get(key string) (*protocol.Pair, bool) { return s.keys.Get(&protocol.Pair{Key: key}) }
 
-// list gives a page of the keys with a prefix that come after one.
+// list returns a page of the keys with a prefix that come after the key from.
 func (s *store) list(prefix, from string, most int) protocol.Page {
-	if most <= 0 || most > pageKeys {
-		most = pageKeys
+	if most <= 0 || most > maxPageKeys {
+		most = maxPageKeys
 	}
 	page := protocol.Page{Pairs: []protocol.Pair{}, Revision: s.revision}
 	size := 0
@@ -75,7 +75,7 @@
 		if !strings.HasPrefix(p.Key, prefix) {
 			return false
 		}
-		if len(page.Pairs) == most || size > 0 && size+len(p.Value) > pageBytes {
+		if len(page.Pairs) == most || size > 0 && size+len(p.Value) > maxPageBytes {
 			page.More = true
 			return false
 		}
@@ -86,13 +86,13 @@
 	return page
 }
 
-// txn is a transaction as it was sent.
+// txn is a transaction as it was received.
 type txn struct {
 	If   []protocol.Condition `json:"if"`
 	Then []put                `json:"then"`
 }
 
-// put is one change, its value as it was sent.
+// put is one change, its value as it was received.
 type put struct {
 	Set   string          `json:"set"`
 	Value json.RawMessage `json:"value"`
@@ -104,8 +104,8 @@
 	return len(key) >= 1 && len(key) <= 200 && !strings.ContainsAny(key, " ")
 }
 
-// check tells what is malformed about a transaction, if anything.
-func (t *txn) check(l Limits) error {
+// validate returns an error if a transaction is malformed.
+func (t *txn) validate(l Limits) error {
 	if l.TxnOps > 0 && (len(t.Then) > l.TxnOps || len(t.If) > 4*l.TxnOps) {
 		return errors.New("too many operations")
 	}
@@ -131,10 +131,10 @@
 	return nil
 }
 
-// commit applies a transaction if its conditions hold; failed are the keys whose don't.
+// commit applies a transaction if its conditions hold; failed are the keys whose conditions do not hold.
 func (s *store) commit(t *txn, now time.Time) (failed []string, err error) {
 	for _, c := range t.Then {
-		if g := s.leases[c.Lease]; c.Lease != 0 && (g == nil || !now.Before(g.end)) {
+		if g := s.leases[c.Lease]; c.Lease != 0 && (g == nil || !now.Before(g.expiry)) {
 			return nil, errNoLease
 		}
 	}
@@ -171,8 +171,8 @@
 		s.events = append(s.events, protocol.Event{Set: c.Set, Value: c.Value, Version: s.revision})
 	}
 	s.changes += len(changes)
-	if extra := len(s.events) - keptEvents; extra > keptEvents/4 { // seldom, and many at once
-		s.oldest = s.events[extra-1].Version
+	if extra := len(s.events) - maxEvents; extra > maxEvents/4 { // trims rarely, many at once
+		s.oldestRevision = s.events[extra-1].Version
 		s.events = slices.Clone(s.events[extra:])
 	}
 }
@@ -185,9 +185,9 @@
 	}
 }
 
-// since gives the changes after a revision of keys with a prefix.
+// since returns the changes of keys with a prefix after a revision.
 func (s *store) since(prefix string, from uint64) ([]protocol.Event, error) {
-	if from < s.oldest {
+	if from < s.oldestRevision {
 		return nil, errTooOld
 	}
 	at, _ := slices.BinarySearchFunc(s.events, from+1, func(e protocol.Event, v uint64) int {
@@ -207,21 +207,21 @@
 
 func (s *store) openLease(ttl time.Duration, now time.Time) uint64 {
 	s.lastID++
-	s.leases[s.lastID] = &grant{ttl: ttl, end: now.Add(ttl), keys: map[string]bool{}}
+	s.leases[s.lastID] = &lease{ttl: ttl, expiry: now.Add(ttl), keys: map[string]bool{}}
 	return s.lastID
 }
 
-// touch renews a lease; false if it has ended.
-func (s *store) touch(id uint64, now time.Time) bool {
+// renew renews a lease; it returns false if the lease has ended.
+func (s *store) renew(id uint64, now time.Time) bool {
 	g := s.leases[id]
-	if g == nil || !now.Before(g.end) {
+	if g == nil || !now.Before(g.expiry) {
 		return false
 	}
-	g.end = now.Add(g.ttl)
+	g.expiry = now.Add(g.ttl)
 	return true
 }
 
-// endLease ends a lease and gives the drops of its keys, which were made.
+// endLease ends a lease, drops its keys and returns these changes.
 func (s *store) endLease(id uint64) (drops []put) {
 	g := s.leases[id]
 	if g == nil {
@@ -238,10 +238,10 @@
 	return drops
 }
 
-// overdue are the leases that have ended by a time.
-func (s *store) overdue(now time.Time) (ids []uint64) {
+// expired returns the leases that have ended by a time.
+func (s *store) expired(now time.Time) (ids []uint64) {
 	for id, g := range s.leases {
-		if !now.Before(g.end) {
+		if !now.Before(g.expiry) {
 			ids = append(ids, id)
 		}
 	}
@@ -249,9 +249,9 @@
 	return ids
 }
 
-// renewAll gives all leases their full time again.
+// renewAll gives all leases their full TTL again.
 func (s *store) renewAll(now time.Time) {
 	for _, g := range s.leases {
-		g.end = now.Add(g.ttl)
+		g.expiry = now.Add(g.ttl)
 	}
 }
--- a/internal/emulator/store_test.go
+++ b/internal/emulator/store_test.go
@@ -14,11 +14,11 @@
 	"daledyke/internal/protocol"
 )
 
-// plain is the state service as the protocol words it, without regard to cost: all
-// changes from the beginning, and the keys found by going through them.
+// plain is a direct model of the state service as the protocol describes it: all changes since the start,
+// and keys found by a scan of them.
 type plain struct {
 	all    []protocol.Event
-	leases map[uint64]time.Time // ends
+	leases map[uint64]time.Time // expiry times
 	ttl    map[uint64]time.Duration
 	bound  map[string]uint64
 	last   uint64
@@ -83,8 +83,7 @@
 	delete(p.leases, id)
 }
 
-// Random operations on the store and on the plain model give the same answers, and leave
-// the same keys, listings and changes.
+// Random operations on the store and on the plain model give the same answers, keys, listings and changes.
 func TestStoreIsThePlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -140,7 +139,7 @@
 			"touch": func(t *rapid.T) {
 				id := lease.Draw(t, "lease")
 				end, there := p.leases[id]
-				if alive := there && now.Before(end); s.touch(id, now) != alive {
+				if alive := there && now.Before(end); s.renew(id, now) != alive {
 					t.Fatalf("touched %d, which lives: %v", id, alive)
 				} else if alive {
 					p.leases[id] = now.Add(p.ttl[id])
@@ -162,7 +161,7 @@
 					}
 				}
 				slices.Sort(over)
-				if got := s.overdue(now); !slices.Equal(got, over) {
+				if got := s.expired(now); !slices.Equal(got, over) {
 					t.Fatalf("overdue are %v, not %v", got, over)
 				}
 				for _, id := range over {
@@ -212,16 +211,16 @@
 	})
 }
 
-// A watch from before the kept changes is told so.
+// A watch from a revision older than the kept changes fails.
 func TestChangesNoLongerKept(t *testing.T) {
 	s := newStore()
-	for n := range 2 * keptEvents {
+	for n := range 2 * maxEvents {
 		s.apply([]put{{Set: fmt.Sprint("k", n%7), Value: json.RawMessage("1")}})
 	}
 	if _, err := s.since("", 5); err != errTooOld {
 		t.Errorf("since 5: %v", err)
 	}
-	if ev, err := s.since("", uint64(keptEvents)+2); err != nil || len(ev) != keptEvents-2 {
+	if ev, err := s.since("", uint64(maxEvents)+2); err != nil || len(ev) != maxEvents-2 {
 		t.Errorf("%d changes, %v", len(ev), err)
 	}
 }
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -71,25 +71,25 @@
 // attempt that is here, if any, and sent is when the command was sent.
 func (m *machine) start(c protocol.Command, t *task, sent time.Duration) {
 	if t != nil && t.State != protocol.TaskExited {
-		m.w.note(history.Event{Kind: history.StartReceived, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent, Cause: causeInUse})
+		m.w.record(history.Event{Kind: history.StartReceived, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent, Cause: causeInUse})
 		return // the report goes on telling of the attempt that is here
 	}
 	id, index, _ := protocol.SplitTask(c.Task)
-	k := m.w.works[id]
+	k := m.w.jobs[id]
 	t = &task{TaskReport: protocol.TaskReport{Task: c.Task, Attempt: c.Attempt, State: protocol.TaskPulling}, m: m, work: k, index: index}
 	m.tasks[c.Task] = t
 	if k == nil || index >= k.spec.Tasks {
 		t.State, t.Cause = protocol.TaskExited, causeUnknown
 		return
 	}
-	m.w.note(history.Event{Kind: history.StartReceived, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent})
+	m.w.record(history.Event{Kind: history.StartReceived, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent})
 	if !m.free.Fits(k.spec.Need()) {
 		t.State, t.Cause = protocol.TaskExited, causeNoRoom
 		t.noteLeft()
 		return
 	}
 	m.free = m.free.Sub(k.spec.Need())
-	m.w.used = m.w.used.Add(k.spec.Need())
+	m.w.usedRoom = m.w.usedRoom.Add(k.spec.Need())
 	t.holds = true
 	if m.has(k.spec.Image) {
 		t.begin()
@@ -109,7 +109,7 @@
 func (t *task) begin() {
 	t.on = true
 	t.m.w.running++
-	t.m.w.note(history.Event{Kind: history.TaskStarted, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Type: t.m.kind.Type, Zone: t.m.kind.Zone, Spot: t.m.kind.Spot})
+	t.m.w.record(history.Event{Kind: history.TaskStarted, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Type: t.m.kind.Type, Zone: t.m.kind.Zone, Spot: t.m.kind.Spot})
 	switch p := t.work.progress(t.index); {
 	case t.m.faulty || t.work.mistake:
 		t.State = protocol.TaskRunning
@@ -181,7 +181,7 @@
 }
 
 func (t *task) noteLeft() {
-	t.m.w.note(history.Event{Kind: history.AttemptEnded, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Cause: t.Cause})
+	t.m.w.record(history.Event{Kind: history.AttemptEnded, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Cause: t.Cause})
 }
 
 // leave ends a task on its machine, for a cause. Of a gang, the others notice.
@@ -202,12 +202,12 @@
 	if t.holds {
 		t.holds = false
 		t.m.free = t.m.free.Add(t.work.spec.Need())
-		t.m.w.used = t.m.w.used.Sub(t.work.spec.Need())
+		t.m.w.usedRoom = t.m.w.usedRoom.Sub(t.work.spec.Need())
 	}
 	if t.on {
 		t.on = false
 		t.m.w.running--
-		t.m.w.note(history.Event{Kind: history.TaskStopped, Task: t.Task, Machine: t.m.id, Cause: cause})
+		t.m.w.record(history.Event{Kind: history.TaskStopped, Task: t.Task, Machine: t.m.id, Cause: cause})
 	}
 	t.noteLeft()
 	if g := t.gang; g != nil {
--- a/internal/emulator/troubles.go
+++ b/internal/emulator/troubles.go
@@ -7,50 +7,50 @@
 	"daledyke/internal/protocol"
 )
 
-// MachineFault is what can happen to a machine.
+// MachineFault is a fault that can be injected into a machine, or a recovery from one.
 type MachineFault string
 
-// The troubles of machines.
+// The faults and recoveries of machines.
 const (
-	Hang              MachineFault = "hangs"    // it does nothing, until it resumes
-	Resume            MachineFault = "resumes"  // it goes on, if its lease still lives
-	Crash             MachineFault = "dies"     // it stops on its own
-	FailTasks         MachineFault = "sickens"  // all tasks on it fail
-	SlowDown          MachineFault = "slows"    // it runs at a quarter of its speed
-	ReclaimWithNotice MachineFault = "leaves"   // the cloud takes it after a notice of 20 s
-	Reclaim           MachineFault = "taken"    // the cloud takes it without a notice
-	DropInbound       MachineFault = "deafens"  // its reports arrive, but answers and commands don't reach it
-	HoldInbound       MachineFault = "holds"    // the same, and commands are held and arrive once it hears
-	RestoreInbound    MachineFault = "hears"    // it hears again
-	BlockOutbound     MachineFault = "mutes"    // it can't open connections to any controller; direct commands reach it
-	RestoreOutbound   MachineFault = "speaks"   // it can again
-	Isolate           MachineFault = "isolates" // nothing leaves it; commands are held, and arrive once it rejoins
-	Rejoin            MachineFault = "rejoins"  // it is reached, and reaches others, again
-	Reboot            MachineFault = "reboots"  // it is back at once, without its tasks, and its worker begins anew
+	Hang              MachineFault = "hangs"    // the machine freezes until it resumes
+	Resume            MachineFault = "resumes"  // the machine continues, if its lease is still valid
+	Crash             MachineFault = "dies"     // the machine stops without the cloud's doing
+	FailTasks         MachineFault = "sickens"  // all tasks on the machine fail
+	SlowDown          MachineFault = "slows"    // the machine runs at a quarter of its speed
+	ReclaimWithNotice MachineFault = "leaves"   // the cloud reclaims the machine after a notice of 20 s
+	Reclaim           MachineFault = "taken"    // the cloud reclaims the machine without notice
+	DropInbound       MachineFault = "deafens"  // reports are delivered, but answers and commands to the machine are dropped
+	HoldInbound       MachineFault = "holds"    // as DropInbound, but commands are held and delivered after RestoreInbound
+	RestoreInbound    MachineFault = "hears"    // answers and commands are delivered again
+	BlockOutbound     MachineFault = "mutes"    // the machine cannot open connections to any controller; direct commands reach it
+	RestoreOutbound   MachineFault = "speaks"   // the machine can open connections again
+	Isolate           MachineFault = "isolates" // nothing leaves the machine; commands are held and delivered after Rejoin
+	Rejoin            MachineFault = "rejoins"  // the machine is reachable and reaches others again
+	Reboot            MachineFault = "reboots"  // the machine restarts at once without its tasks, and its worker without its state
 )
 
-// notice is how long a spot notice is.
-const notice = 20 * time.Second
+// reclaimNotice is how long before a reclaim the cloud announces it.
+const reclaimNotice = 20 * time.Second
 
-// InjectFault has something happen to a machine; it is an error if there is none.
+// InjectFault injects a fault into a machine; it returns an error if there is no such running machine.
 func (w *World) InjectFault(id string, t MachineFault) (err error) {
-	w.loop.do(func() { err = w.strike(id, t) })
+	w.loop.do(func() { err = w.inject(id, t) })
 	return err
 }
 
-// InjectFaults has something happen to so many machines that run, chosen by chance among
-// those that fit; it gives their names.
+// InjectFaults injects a fault into up to n running machines, chosen at random among those that fit, and
+// returns their names.
 func (w *World) InjectFaults(n int, t MachineFault, fits func(zone string, spot bool) bool) (ids []string) {
 	w.loop.do(func() {
 		var up []string
-		for _, m := range w.order {
-			if m.runs() && fits(m.kind.Zone, m.kind.Spot) {
+		for _, m := range w.machineList {
+			if m.isRunning() && fits(m.kind.Zone, m.kind.Spot) {
 				up = append(up, m.id)
 			}
 		}
 		w.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
 		for _, id := range up[:min(n, len(up))] {
-			if w.strike(id, t) == nil {
+			if w.inject(id, t) == nil {
 				ids = append(ids, id)
 			}
 		}
@@ -58,11 +58,11 @@
 	return ids
 }
 
-// RunningMachines counts the machines that run: those among which StrikeSome chooses.
+// RunningMachines counts the running machines, among which InjectFaults chooses.
 func (w *World) RunningMachines() (count int) {
 	w.loop.do(func() {
-		for _, m := range w.order {
-			if m.runs() {
+		for _, m := range w.machineList {
+			if m.isRunning() {
 				count++
 			}
 		}
@@ -70,10 +70,10 @@
 	return count
 }
 
-// runs tells whether a machine has booted and neither died nor hangs.
-func (m *machine) runs() bool { return m.up && !m.dead && !m.hung }
+// isRunning reports whether a machine has booted and has neither stopped nor frozen.
+func (m *machine) isRunning() bool { return m.up && !m.dead && !m.hung }
 
-func (w *World) strike(id string, t MachineFault) error {
+func (w *World) inject(id string, t MachineFault) error {
 	m := w.machines[id]
 	if m == nil || m.dead || !m.up {
 		return fmt.Errorf("machine %q is not there", id)
@@ -87,17 +87,17 @@
 		m.fail()
 	case FailTasks:
 		m.faulty = true
-		for _, t := range m.sorted() {
+		for _, t := range m.sortedTasks() {
 			t.leave(protocol.CauseError)
 		}
 		m.say()
 	case SlowDown:
 		m.slowDown(0.25)
 	case ReclaimWithNotice:
-		at := time.Now().Add(notice)
+		at := time.Now().Add(reclaimNotice)
 		m.leaves = &at
 		m.say()
-		w.loop.after(notice, func() { m.vanish("taken") })
+		w.loop.after(reclaimNotice, func() { m.vanish("taken") })
 	case Reclaim:
 		m.vanish("taken")
 	case DropInbound, HoldInbound:
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -1,8 +1,7 @@
-// Package emulator plays the world around daledyke by its published protocol: the
-// state service, the cloud, the machines with their workers, and the load balancer that
-// users come through. It runs over any network, in memory under virtual time as well as
-// on loopback, and can be told to fail in all the ways that the protocol names. What
-// happens is noted as events, over which the rules are checked at once.
+// Package emulator emulates the environment of daledyke by its published protocol: the state service, the
+// cloud, the machines with their workers, and the load balancer between users and controllers. It runs over
+// any network, in memory under virtual time or on loopback, and can inject all faults that the protocol
+// names. It records events and checks the rules on them as they occur.
 package emulator
 
 import (
@@ -22,48 +21,48 @@
 	"daledyke/internal/protocol"
 )
 
-// Variation is how far the world strays from its nominal values, as the protocol lets
-// it. The zero value strays nowhere.
+// Variation is how far the world deviates from its nominal values, within the protocol's limits. The zero
+// value does not deviate.
 type Variation struct {
-	// Boots: boot times are 0.6 to 1.5 times the nominal, some several times as long;
-	// NeverUp is the share of machines that never come up.
+	// Boots: boot times are 0.6 to 1.5 times the nominal, and some several times as long; NeverUp is the
+	// share of machines that never finish booting.
 	Boots   bool
 	NeverUp float64
-	// Speeds: machines are up to a tenth slower and fetch up to a third off their rate.
+	// Speeds: machines are up to a tenth slower, and their fetch rates vary by up to a third.
 	Speeds bool
-	// Reports come up to a quarter early or late.
+	// Reports: reports are sent up to a quarter early or late.
 	Reports bool
-	// Prices of spot machines move by up to a third.
+	// Prices: spot prices vary by up to a third.
 	Prices bool
-	// ListLag is by how much the machine list is late; at times it is up to twice that.
+	// ListLag is the delay of the machine list; at times it is up to twice as long.
 	ListLag time.Duration
 }
 
-// Setup is what a world is made of.
+// Setup is the configuration of a world.
 type Setup struct {
-	// Controllers are the names of the controllers, in the order workers know them.
+	// Controllers are the names of the controllers, in the order in which workers know them.
 	Controllers []string
 	Types       []protocol.MachineType
-	// Teams' limits bound what their tasks may use.
+	// Teams sets the limits of what the teams' tasks may use.
 	Teams []config.Team
-	// Capacity is how many machines there are at once, and Most how many of a type; a type
-	// that is not in it has no bound of its own.
+	// Capacity limits the machines at one time, MaxByType those of a type; a type without an entry has no
+	// limit of its own.
 	Capacity  int
 	MaxByType map[string]int
-	// CloudRPS bounds the cloud's requests a second, 0 not at all.
+	// CloudRPS limits the cloud's requests per second; 0 is unlimited.
 	CloudRPS float64
 	State    Limits
-	// StateDir keeps the state service's state, "" in memory.
+	// StateDir is the directory of the state service's state; "" keeps it in memory.
 	StateDir string
-	// The workers' times, as the settings have them.
+	// The workers' intervals and timeouts, as configured.
 	ReportEvery, Lease, GangWait, GangPeer, CancelWithin time.Duration
 	Variation                                            Variation
 	Seed                                                 uint64
-	// Record is given every event, in its order, on the world's goroutine; it may be nil.
+	// Record receives every event in order, on the world's goroutine; it may be nil.
 	Record func(history.Event)
 }
 
-// Limits are the most that each team's tasks may use at once, CPUs and GPUs; 0 is no limit.
+// Limits returns the most CPUs and GPUs that each team's tasks may use at once; 0 is unlimited.
 func (s *Setup) Limits() map[string]protocol.Room {
 	limits := map[string]protocol.Room{}
 	for _, t := range s.Teams {
@@ -72,58 +71,58 @@
 	return limits
 }
 
-// World is all that is around the controllers. Its loop owns all but the state service.
+// World is the environment of the controllers. Its loop owns all state except that of the state service.
 type World struct {
 	State *State
 	loop  *loop
 	net   Network
-	set   Setup
+	setup Setup
 	rng   *rand.Rand
 	types map[string]*protocol.MachineType
 	rules *history.Checker
-	works map[string]*work
-	// The cloud.
-	machines map[string]*machine
-	order    []*machine // by name, gone ones among them while they are listed
-	booked   map[string][]string
-	made     int            // machines so far
-	live     int            // machines that are charged
-	lives    map[string]int // of them, by type
-	capacity int
-	down     bool
-	// cloudLate is how much later rentals and returns are carried out, unanswered.
-	cloudLate time.Duration
-	bucket    *rate.Limiter
-	prices    map[string]float64 // factors of spot prices, by type
-	money     float64            // spent on machines that are gone
-	hourly    float64            // what those that are charged cost an hour
-	paidTo    time.Time
-	boots     float64 // factor on boot times
-	// Room in use and there.
-	used, whole protocol.Room
-	running     int
-	// echo is how much later copies of all reports come, 0 for none.
-	echo time.Duration
-	// held is the share of direct commands that are held up; keeps: copies of reports are kept,
-	// the first of each machine.
-	held  float64
-	keeps bool
-	kept  map[string]protocol.Report
-	// fronts are the addresses of the controllers' doors, by name.
-	fronts map[string]string
-	stops  []func()
+	jobs  map[string]*work
+	// State of the cloud.
+	machines      map[string]*machine
+	machineList   []*machine // by name, including removed machines while they are listed
+	bookings      map[string][]string
+	machinesMade  int            // machines rented so far
+	charged       int            // machines that are charged
+	chargedByType map[string]int // charged machines by type
+	capacity      int
+	cloudDown     bool
+	// cloudDelay is how much later rentals and returns are carried out; their answers are dropped.
+	cloudDelay    time.Duration
+	cloudLimiter  *rate.Limiter
+	spotFactors   map[string]float64 // factor on the spot price, by type
+	cost          float64            // cost until costAccruedTo
+	hourlyCost    float64            // hourly cost of the charged machines
+	costAccruedTo time.Time
+	bootFactor    float64 // factor on boot times
+	// Resources in use, and of all running machines.
+	usedRoom, totalRoom protocol.Room
+	running             int
+	// duplicateDelay is how much later copies of all reports are sent; 0 sends none.
+	duplicateDelay time.Duration
+	// delayedCommandShare is the share of direct commands that are delayed. While keepReports is set, the
+	// first report of each machine is copied to keptReports.
+	delayedCommandShare float64
+	keepReports         bool
+	keptReports         map[string]protocol.Report
+	// controllerAddrs are the addresses of the controllers for workers, by controller.
+	controllerAddrs map[string]string
+	stops           []func()
 }
 
-// New makes a world on a network, which lives as long as ctx. Its services listen as
-// cloud and state-CONTROLLER.
+// New returns a world on a network, which runs until ctx ends. Its services listen as cloud and
+// state-CONTROLLER.
 func New(ctx context.Context, n Network, set Setup) (*World, error) {
-	w := &World{net: n, set: set, rng: rand.New(rand.NewPCG(set.Seed, 0x1dea)), types: map[string]*protocol.MachineType{}, works: map[string]*work{},
-		machines: map[string]*machine{}, booked: map[string][]string{}, capacity: set.Capacity, prices: map[string]float64{}, lives: map[string]int{}, paidTo: time.Now(), boots: 1,
-		fronts: map[string]string{}, bucket: bucket(set.CloudRPS, 2)}
+	w := &World{net: n, setup: set, rng: rand.New(rand.NewPCG(set.Seed, 0x1dea)), types: map[string]*protocol.MachineType{}, jobs: map[string]*work{},
+		machines: map[string]*machine{}, bookings: map[string][]string{}, capacity: set.Capacity, spotFactors: map[string]float64{}, chargedByType: map[string]int{}, costAccruedTo: time.Now(), bootFactor: 1,
+		controllerAddrs: map[string]string{}, cloudLimiter: newLimiter(set.CloudRPS, 2)}
 	w.rules = history.NewChecker(history.Deployment{Limits: set.Limits(), CancelWithin: set.CancelWithin})
 	for i := range set.Types {
 		w.types[set.Types[i].Name] = &set.Types[i]
-		w.prices[set.Types[i].Name] = 1
+		w.spotFactors[set.Types[i].Name] = 1
 	}
 	var err error
 	if w.State, err = NewState(ctx, set.State, set.StateDir); err != nil {
@@ -136,14 +135,14 @@
 	return w, nil
 }
 
-// Serve opens the cloud's and the state service's doors, and gives their addresses: the
-// state service's by controller.
+// Serve starts the cloud and the state service and returns their addresses, the state service's by
+// controller.
 func (w *World) Serve() (cloud string, state map[string]string, err error) {
 	if cloud, err = w.serve("cloud", w.cloudHandler()); err != nil {
 		return "", nil, err
 	}
 	state = map[string]string{}
-	for _, name := range w.set.Controllers {
+	for _, name := range w.setup.Controllers {
 		if state[name], err = w.serve("state-"+name, w.State.Handler(name)); err != nil {
 			return "", nil, err
 		}
@@ -165,16 +164,16 @@
 	return l.Addr().String(), nil
 }
 
-// SetControllerAddrs tells the workers where the controllers' doors are.
+// SetControllerAddrs tells the workers the controllers' addresses.
 func (w *World) SetControllerAddrs(addrs map[string]string) {
-	w.loop.do(func() { maps.Copy(w.fronts, addrs) })
+	w.loop.do(func() { maps.Copy(w.controllerAddrs, addrs) })
 }
 
-// Close takes all machines away and closes all doors.
+// Close removes all machines and stops all servers.
 func (w *World) Close() {
 	var stops []func()
 	w.loop.do(func() {
-		for _, m := range w.order {
+		for _, m := range w.machineList {
 			m.vanish("the world ends")
 		}
 		stops = w.stops
@@ -184,105 +183,102 @@
 	}
 }
 
-// RecordEvent notes what happened outside of the world, such as what a user was told.
-func (w *World) RecordEvent(e history.Event) { w.loop.do(func() { w.note(e) }) }
+// RecordEvent records an event from outside the world, such as an answer to a user.
+func (w *World) RecordEvent(e history.Event) { w.loop.do(func() { w.record(e) }) }
 
-func (w *World) note(e history.Event) {
+func (w *World) record(e history.Event) {
 	e.At = w.loop.since()
 	w.rules.Observe(e)
-	if w.set.Record != nil {
-		w.set.Record(e)
+	if w.setup.Record != nil {
+		w.setup.Record(e)
 	}
 }
 
-// WithChecker has f look at what the rules know, or change limits of accounts.
+// WithChecker calls f with the rules' checker, to read its state or to change limits of accounts.
 func (w *World) WithChecker(f func(*history.Checker)) { w.loop.do(func() { f(w.rules) }) }
 
-// Elapsed is the time from the world's beginning.
+// Elapsed returns the time since the world was created.
 func (w *World) Elapsed() time.Duration { return w.loop.since() }
 
-// Sample is the state of the world now; it is noted, too.
+// Sample returns the current state of the world and records it as an event.
 func (w *World) Sample() (s history.Sample) {
 	state := w.State.Counts()
 	w.loop.do(func() {
 		w.pay()
-		s = history.Sample{Running: w.running, Waiting: w.rules.Waiting(), Machines: w.live, CoresUsed: w.used.Cores, Cores: w.whole.Cores,
-			StateRequests: state.Requests, StateChanges: state.Changes, Money: w.money}
-		w.note(history.Event{Kind: history.Sampled, Sample: &s})
+		s = history.Sample{Running: w.running, Waiting: w.rules.Waiting(), Machines: w.charged, CoresUsed: w.usedRoom.Cores, Cores: w.totalRoom.Cores,
+			StateRequests: state.Requests, StateChanges: state.Changes, Money: w.cost}
+		w.record(history.Event{Kind: history.Sampled, Sample: &s})
 	})
 	return s
 }
 
-// RegisterJob tells the world of a job's image: how long its tasks run on a machine of
-// nominal speed, and whether it was submitted with a mistake.
+// RegisterJob registers a job's image: how long its tasks run on a machine of nominal speed, and whether it
+// was submitted with a mistake.
 func (w *World) RegisterJob(spec *protocol.JobSpec, run func(task int) time.Duration, mistake bool) {
 	w.loop.do(func() {
-		if w.works[spec.ID] == nil {
-			w.works[spec.ID] = &work{w: w, spec: spec, run: run, mistake: mistake, tasks: map[int]*progress{}, gangs: map[uint64]*gang{}}
-			w.note(history.Event{Kind: history.Submitted, Job: spec.ID, Spec: spec})
+		if w.jobs[spec.ID] == nil {
+			w.jobs[spec.ID] = &work{w: w, spec: spec, run: run, mistake: mistake, tasks: map[int]*progress{}, gangs: map[uint64]*gang{}}
+			w.record(history.Event{Kind: history.Submitted, Job: spec.ID, Spec: spec})
 		}
 	})
 }
 
-// SetCapacity sets how many machines there can be at once.
+// SetCapacity sets how many machines there can be at one time.
 func (w *World) SetCapacity(n int) { w.loop.do(func() { w.capacity = n }) }
 
-// SetBootFactor sets a factor on the boot times of machines rented from now on; 0 has them up
-// at once.
-func (w *World) SetBootFactor(factor float64) { w.loop.do(func() { w.boots = factor }) }
+// SetBootFactor sets a factor on the boot times of machines rented from now on; with 0 they start at once.
+func (w *World) SetBootFactor(factor float64) { w.loop.do(func() { w.bootFactor = factor }) }
 
-// SetCloudOutage takes the cloud away, or gives it back.
-func (w *World) SetCloudOutage(down bool) { w.loop.do(func() { w.down = down }) }
+// SetCloudOutage makes the cloud unavailable, or restores it.
+func (w *World) SetCloudOutage(down bool) { w.loop.do(func() { w.cloudDown = down }) }
 
-// DelayCloudRequests has rentals and returns carried out so much later, without an answer to their
-// sender; 0 ends it.
-func (w *World) DelayCloudRequests(by time.Duration) { w.loop.do(func() { w.cloudLate = by }) }
+// DelayCloudRequests carries out rentals and returns after a delay and drops their answers; 0 ends it.
+func (w *World) DelayCloudRequests(by time.Duration) { w.loop.do(func() { w.cloudDelay = by }) }
 
-// DuplicateReports has a copy of every report come so much later, each at a controller drawn by chance,
-// whatever became of the machine meanwhile; 0 ends it, but for those under way.
-func (w *World) DuplicateReports(by time.Duration) { w.loop.do(func() { w.echo = by }) }
+// DuplicateReports sends a copy of every report after a delay, each to a random controller, whatever
+// happened to the machine meanwhile. 0 ends it, except for copies that are already scheduled.
+func (w *World) DuplicateReports(by time.Duration) { w.loop.do(func() { w.duplicateDelay = by }) }
 
-// DelayCommands has that share of direct commands held up on their way: unanswered, and carried
-// out once, 2 to 16 s later, if token and session still match. 0 ends it, but for those under
-// way.
-func (w *World) DelayCommands(share float64) { w.loop.do(func() { w.held = share }) }
+// DelayCommands delays a share of the direct commands: each is unanswered and carried out once, 2 to 16 s
+// later, if its token and session still match. 0 ends it, except for commands that are already delayed.
+func (w *World) DelayCommands(share float64) { w.loop.do(func() { w.delayedCommandShare = share }) }
 
-// ReplayReports has a copy kept of the next report of each machine; once it ends they reach every
-// controller at once.
+// ReplayReports keeps a copy of the next report of each machine; when it is turned off, all copies are sent
+// to every controller at once.
 func (w *World) ReplayReports(on bool) {
 	var all []protocol.Report
 	var to []string
 	w.loop.do(func() {
-		if w.keeps = on; on {
-			w.kept = map[string]protocol.Report{}
+		if w.keepReports = on; on {
+			w.keptReports = map[string]protocol.Report{}
 			return
 		}
-		for _, m := range w.order {
-			if rep, kept := w.kept[m.id]; kept {
+		for _, m := range w.machineList {
+			if rep, kept := w.keptReports[m.id]; kept {
 				all = append(all, rep)
 			}
 		}
-		for _, name := range w.set.Controllers {
-			to = append(to, w.fronts[name])
+		for _, name := range w.setup.Controllers {
+			to = append(to, w.controllerAddrs[name])
 		}
 	})
 	go func() {
 		c := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer("copies"), DisableKeepAlives: true}}
 		for _, rep := range all {
 			for _, addr := range to {
-				request(w.loop.ctx, c, http.MethodPost, "http://"+addr+"/checkin", rep, reportAnswer) // nobody hears the answer
+				request(w.loop.ctx, c, http.MethodPost, "http://"+addr+"/checkin", rep, reportAnswer) // the answer is dropped
 			}
 		}
 	}()
 }
 
-// MachinesRented is how many machines were rented so far.
+// MachinesRented returns how many machines were rented so far.
 func (w *World) MachinesRented() (n int) {
-	w.loop.do(func() { n = w.made })
+	w.loop.do(func() { n = w.machinesMade })
 	return n
 }
 
-// ZoneOf is the zone of a machine, "" if there is none of that name.
+// ZoneOf returns the zone of a machine, "" if there is no such machine.
 func (w *World) ZoneOf(id string) (zone string) {
 	w.loop.do(func() {
 		if m := w.machines[id]; m != nil {
@@ -292,10 +288,10 @@
 	return zone
 }
 
-// spread is a factor that lies between two values, by chance.
-func (w *World) spread(low, high float64) float64 { return low + (high-low)*w.rng.Float64() }
+// uniform returns a random factor between two values.
+func (w *World) uniform(low, high float64) float64 { return low + (high-low)*w.rng.Float64() }
 
-// sorted lists a machine's tasks in the order of their names, so that a world repeats.
-func (m *machine) sorted() []*task {
+// sortedTasks returns a machine's tasks in the order of their names, so that runs are reproducible.
+func (m *machine) sortedTasks() []*task {
 	return slices.SortedFunc(maps.Values(m.tasks), func(a, b *task) int { return cmp.Compare(a.Task, b.Task) })
 }
