--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -15,16 +15,16 @@
 	"daledyke/internal/protocol"
 )
 
-// leastCharge is what a machine that is deleted costs at least.
+// minCharge is the shortest time that a deleted machine is charged for.
 const leastCharge = time.Minute
 
-// listedDead is for how long a machine that died stays listed as running.
+// crashedListedFor is how long a crashed machine remains listed as running.
 const listedDead = 30 * time.Second
 
-// mostListed bounds a page of the machine list.
+// maxListPage limits a page of the machine list.
 const mostListed = 500
 
-// cloudHandler serves the cloud's interface.
+// cloudHandler serves the cloud's API.
 func (w *World) cloudHandler() http.Handler {
 	r := httprouter.New()
 	r.GET("/catalog", func(rw http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -72,8 +72,8 @@
 	return r
 }
 
-// maybeLate has f answer as cloudAnswer does; or, if requests are held up, has it done much
-// later, while its sender hears nothing: machines appear that nobody expects any more.
+// answerOrDelay answers as cloudAnswer does. If requests are delayed, it runs f after the delay and drops the
+// answer: machines appear that no controller expects any more.
 func (w *World) maybeLate(rw http.ResponseWriter, r *http.Request, f func() (int, any)) {
 	var late time.Duration
 	w.loop.do(func() {
@@ -92,7 +92,7 @@
 	w.cloudAnswer(rw, f)
 }
 
-// cloudAnswer has f answer on the loop, within the cloud's rate and out of outages.
+// cloudAnswer runs f on the loop and writes its answer, subject to the cloud's rate limit and outages.
 func (w *World) cloudAnswer(rw http.ResponseWriter, f func() (int, any)) {
 	status, body := http.StatusServiceUnavailable, any(problem("trouble"))
 	w.loop.do(func() {
@@ -107,7 +107,7 @@
 	answer(rw, status, body)
 }
 
-// rent carries a rental out; one that was carried out before is only answered again.
+// rent carries out a rental. A repeated request for the same booking receives the first answer.
 func (w *World) rent(q protocol.RentRequest) (int, any) {
 	t := w.types[q.Type]
 	if q.Booking == "" || t == nil || !slices.Contains(t.Zones, q.Zone) || q.Count < 1 || q.Count > protocol.MaxRent {
@@ -131,7 +131,7 @@
 	return http.StatusOK, protocol.MachineNames{Machines: ids}
 }
 
-// newMachine rents a machine, which boots.
+// newMachine rents a machine and starts its boot.
 func (w *World) newMachine(q protocol.RentRequest, t *protocol.MachineType) *machine {
 	id := fmt.Sprintf("host-%06d", w.made)
 	v := w.set.Variation
@@ -160,7 +160,7 @@
 	return m
 }
 
-// lag is by how much the list is late with one piece of news.
+// listLag returns the delay of one update of the machine list.
 func (w *World) lag() time.Duration {
 	lag := w.set.Variation.ListLag
 	if lag > 0 && w.rng.Float64() < 0.1 {
@@ -169,7 +169,7 @@
 	return lag
 }
 
-// price is what a machine costs an hour now.
+// price returns the current hourly price of a machine.
 func (w *World) price(m *machine) float64 {
 	if m.kind.Spot {
 		return m.typ.SpotPrice * w.prices[m.typ.Name]
@@ -177,14 +177,14 @@
 	return m.typ.Price
 }
 
-// pay adds up what the machines cost until now.
+// accrueCost adds the cost of all machines up to now.
 func (w *World) pay() {
 	now := time.Now()
 	w.money += w.hourly * now.Sub(w.paidTo).Hours()
 	w.paidTo = now
 }
 
-// charge begins (1) or ends (-1) what a machine costs.
+// setCharged starts (1) or ends (-1) the charge for a machine.
 func (w *World) charge(m *machine, sign int) {
 	w.pay()
 	m.charged = sign > 0
@@ -195,11 +195,11 @@
 		w.money += w.price(m) * max(0, leastCharge-time.Since(m.born)).Hours()
 	}
 	if w.live == 0 {
-		w.hourly = 0 // of roundings
+		w.hourly = 0 // clears rounding errors
 	}
 }
 
-// movePrices moves the spot prices, and again later.
+// updateSpotPrices changes the spot prices at random and schedules the next change.
 func (w *World) movePrices() {
 	w.pay()
 	for i := range w.set.Types {
@@ -215,7 +215,7 @@
 	w.loop.after(30*time.Second, w.movePrices)
 }
 
-// list is a page of the machine list, as late as it is.
+// listMachines returns a page of the machine list, with its delays.
 func (w *World) list(from string, most int) protocol.MachineList {
 	l := protocol.MachineList{Machines: []protocol.Machine{}}
 	now := time.Now()
@@ -245,7 +245,7 @@
 	return l
 }
 
-// forget drops machines that are gone and not listed any more, when there are many.
+// pruneMachineList removes machines that are gone and no longer listed, once there are many of them.
 func (w *World) forget(now time.Time) {
 	if len(w.order) < 2*len(w.machines)+100 {
 		return
--- a/internal/emulator/cut_test.go
+++ b/internal/emulator/cut_test.go
@@ -12,13 +12,12 @@
 	"daledyke/internal/protocol"
 )
 
-// Machines go from controller to controller, each of which refuses them with an answer, and
-// give up their connections each time, while whether a connection is cut is decided by the zones
-// of the world. Once the network and the world waited for each other then, and virtual time
-// stood still (incident emulator-cut-stall).
-func TestConnectionsCloseWhileZonesAreAsked(t *testing.T) {
-	// In real time, since none passes in the bubble then.
-	watch := time.AfterFunc(time.Minute, func() { panic("it stands still") })
+// Workers switch from controller to controller, each of which refuses them with an answer, and close their
+// connections each time, while the network asks the world for zones to decide which connections are blocked.
+// The network and the world deadlocked here, and virtual time stopped (incident emulator-cut-stall).
+func TestConnectionsCloseDuringZoneLookups(t *testing.T) {
+	// In real time, because virtual time stops in a deadlock.
+	watch := time.AfterFunc(time.Minute, func() { panic("virtual time has stopped") })
 	defer watch.Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -48,7 +47,7 @@
 			})
 		}
 		time.Sleep(time.Minute)
-		pipes.Partition(func(string, string) bool { return true }) // nobody asks for zones while the world ends
+		pipes.Partition(func(string, string) bool { return true }) // no zone lookups while the world closes
 		w.Close()
 		time.Sleep(time.Minute)
 	})
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -9,30 +9,29 @@
 	"daledyke/internal/protocol"
 )
 
-// gang is tasks that found each other by their attempt's number. After it failed, tasks
-// that are started under the same number find each other again: the protocol does not
-// say that a number serves once, and an owner that missed the gang's beginning replaces
-// what is gone under the number it had.
+// gang holds the tasks that joined under one attempt number. After a gang failed, tasks that start under the
+// same number form a new gang: the protocol does not say that a number is used only once, and an owner that
+// missed the gang's start replaces lost tasks under the old number.
 type gang struct {
 	work    *work
 	attempt uint64
 	members map[int]*task
 	running bool
-	broken  bool // a task is gone: the others are about to notice
+	broken  bool // a member is lost; the others fail after GangPeer
 	since   time.Time
 	base    time.Duration
 	speed   float64
 	end     *timer
-	// halted are the tasks that were told to save, saved those that have; made is the
-	// progress at the first halt.
+	// stopping are the tasks that were told to save and stop, saved those that have saved; stopProgress is
+	// the progress at the first such command.
 	halted, saved map[*task]bool
 	made          time.Duration
 }
 
-// join has a task that has its image wait for the others of its attempt.
+// join makes a task that has its image wait for the other tasks of its attempt.
 func (k *work) join(t *task) {
 	g := k.gangs[t.Attempt]
-	if g == nil { // tasks that are left of one that failed are not joined
+	if g == nil { // remaining tasks of a failed gang are not joined
 		g = &gang{work: k, attempt: t.Attempt, members: map[int]*task{}, halted: map[*task]bool{}, saved: map[*task]bool{}}
 		k.gangs[t.Attempt] = g
 	}
@@ -74,7 +73,7 @@
 	})
 }
 
-// over ends the gang as such: nothing more is lost with its tasks, and none join it.
+// dissolve ends the gang: later losses have no effect, and no task joins it.
 func (g *gang) over() {
 	g.broken = true
 	if g.work.gangs[g.attempt] == g {
@@ -82,13 +81,13 @@
 	}
 }
 
-// progress is what a gang that runs has reached.
+// progress returns the current progress of a running gang.
 func (g *gang) progress() time.Duration {
 	return g.base + time.Duration(float64(time.Since(g.since))*g.speed)
 }
 
-// lost notes that a task is gone, or that its machine hangs: the others notice within
-// the time they have for it, and what was not saved is lost.
+// memberLost records that a task has left or that its machine is frozen. The other members fail after
+// GangPeer, and progress since the last checkpoint is lost.
 func (g *gang) lost(t *task, gone bool) {
 	if gone && g.members[t.index] == t {
 		delete(g.members, t.index)
@@ -106,8 +105,7 @@
 	g.work.w.loop.after(g.work.w.set.GangPeer, func() { g.disband(causePeers) })
 }
 
-// disband ends all tasks that are left, but those on machines that hang: these end when
-// they resume.
+// endMembers ends all remaining tasks. Tasks on frozen machines end after these resume.
 func (g *gang) disband(cause string) {
 	again := false
 	for _, t := range g.sorted() {
@@ -124,15 +122,15 @@
 		}
 	}
 	if again {
-		// Once, whatever the number of them: once for each doubled what was to be done every
-		// second, and a run with four machines that hang for 46 s used up all memory
-		// (incident emulator-gang-memory).
+		// Schedule one retry for all frozen machines. One retry per machine doubled the work every second,
+		// and a run with four machines that were frozen for 46 s exhausted the memory (incident
+		// emulator-gang-memory).
 		g.work.w.loop.after(time.Second, func() { g.disband(cause) })
 	}
 }
 
-// halt has one task of a gang that runs stop: in order with all others, or for itself,
-// which the others notice.
+// stopMember stops one task of a running gang: in an orderly stop with all others, or alone, which fails the
+// gang.
 func (g *gang) halt(t *task, saves bool, grace *float64) {
 	switch {
 	case g.broken || !saves:
@@ -155,7 +153,7 @@
 	}
 }
 
-// incomplete fails an orderly stop of which not all were told in time.
+// failStop fails an orderly stop if not all members were told to stop in time.
 func (g *gang) incomplete() {
 	if g.broken || len(g.halted) == g.work.spec.Tasks {
 		return
@@ -165,7 +163,7 @@
 	g.disband(causePeers)
 }
 
-// finish ends an orderly stop once all have saved.
+// finishStop completes an orderly stop once all members have saved.
 func (g *gang) finish() {
 	if g.broken || len(g.saved) < g.work.spec.Tasks {
 		return
--- a/internal/emulator/loop.go
+++ b/internal/emulator/loop.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// loop is an actor with timers: one goroutine runs, one after the other, what it is
-// told and what falls due. All state of the world belongs to one loop, that of the
-// state service to another.
+// loop is an actor with timers: one goroutine runs the functions it receives and the timers that expire, one
+// at a time. One loop owns all state of the world except that of the state service, which has its own loop.
 type loop struct {
 	inbox chan func()
 	ctx   context.Context
@@ -17,11 +16,11 @@
 	began time.Time
 }
 
-// timer is something that the loop does later, unless it is stopped.
+// timer runs a function on the loop at a later time, unless it is stopped.
 type timer struct {
 	at  time.Time
-	seq uint64 // equal times come in their order
-	f   func() // nil once it was stopped
+	seq uint64 // orders timers that expire at the same time
+	f   func() // nil after stop
 }
 
 type timers []*timer
@@ -68,8 +67,8 @@
 	}
 }
 
-// do runs f on the loop and waits for it; false once the loop has ended, in which case
-// f may not have run. It must not be called on the loop.
+// do runs f on the loop and waits for it. It returns false if the loop has ended; f may then not have run. It
+// must not be called on the loop.
 func (l *loop) do(f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -85,7 +84,7 @@
 	}
 }
 
-// after has f run so much later. It may be called on the loop alone.
+// after schedules f to run after d. It must be called on the loop.
 func (l *loop) after(d time.Duration, f func()) *timer {
 	l.seq++
 	t := &timer{at: time.Now().Add(d), seq: l.seq, f: f}
@@ -93,12 +92,12 @@
 	return t
 }
 
-// stop keeps a timer from running; it may be nil. On the loop alone.
+// stop cancels a timer, which may be nil. It must be called on the loop.
 func (t *timer) stop() {
 	if t != nil {
 		t.f = nil
 	}
 }
 
-// since is the time from the loop's beginning.
+// elapsed returns the time since the loop started.
 func (l *loop) since() time.Duration { return time.Since(l.began) }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -18,19 +18,20 @@
 	kind              protocol.RentRequest
 	typ               *protocol.MachineType
 	born, upAt        time.Time
-	listed            time.Time  // in the machine list from then
+	listed            time.Time  // appears in the machine list from then on
 	unlisted, failed  *time.Time // nil: never
-	leaves            *time.Time // the cloud takes it then
+	leaves            *time.Time // the cloud reclaims it then
 	up, dead, charged bool
 	hung, faulty      bool
-	// deaf: answers and commands don't reach it; held: commands come once it hears.
+	// inboundDropped: answers and commands do not reach the machine; inboundHeld: commands are delivered once
+	// inbound messages are restored.
 	deaf, held        bool
-	mute              bool // its reports reach nobody; commands do, and their answers come
+	mute              bool // its reports reach no controller; commands arrive and are answered
 	speed, fetchSpeed float64
 	session, ticket   uint64
-	boots             int // how often it rebooted
+	boots             int // number of reboots
 	token             protocol.Token
-	told              time.Time // when a higher token last made it report
+	told              time.Time // last report triggered by a higher token
 	renewed           time.Time // when the last answered report was sent
 	tasks             map[string]*task
 	free              protocol.Room
@@ -38,22 +39,22 @@
 	fetches           []*fetch
 	fetchedTo         time.Time
 	fetchTimer        *timer
-	node              int // of the controllers, the one it reports to
+	node              int // index of the controller that it reports to
 	poke              chan struct{}
-	resumed           chan struct{} // closed unless it hangs or is deaf
+	resumed           chan struct{} // closed unless it is frozen or inbound messages are dropped
 	ended             context.CancelFunc
 	ctx               context.Context
 }
 
-// The worker's times that the protocol gives.
+// The worker's intervals and timeouts that the protocol defines.
 const (
-	leastGap     = 500 * time.Millisecond // between two reports
-	nextNode     = time.Second            // after a failure
+	leastGap     = 500 * time.Millisecond // least time between two reports
+	nextNode     = time.Second            // delay before the next controller is tried after a failure
 	reportAnswer = 4 * time.Second
 	redirected   = 100 * time.Millisecond
 )
 
-// comeUp begins the worker.
+// startWorker starts the worker once the machine has booted.
 func (m *machine) comeUp() {
 	if m.dead {
 		return
@@ -64,11 +65,11 @@
 	go m.open()
 }
 
-// open opens the worker's door and begins to report; its address is known only then.
+// serve opens the worker's listener and begins to report; the worker's address is known only then.
 func (m *machine) open() {
 	l, err := m.w.net.Listen("worker-" + m.id)
 	if err != nil {
-		m.w.loop.do(func() { m.fail() }) // a machine without a port is a dead one
+		m.w.loop.do(func() { m.fail() }) // a machine without a port counts as crashed
 		return
 	}
 	r := httprouter.New()
@@ -85,7 +86,7 @@
 	m.report()
 }
 
-// stop takes the machine's room and tasks away.
+// shutDown removes the machine's capacity and tasks.
 func (m *machine) stop() {
 	if m.dead {
 		return
@@ -102,7 +103,7 @@
 	}
 }
 
-// clear kills and forgets all tasks.
+// clearTasks kills and removes all tasks.
 func (m *machine) clear() {
 	for _, t := range m.sorted() {
 		if t.State != protocol.TaskExited {
@@ -112,7 +113,7 @@
 	m.tasks = map[string]*task{}
 }
 
-// watchLease lets the lease lapse when it is over, hanging or not.
+// watchLease ends the session when its lease expires, also while the machine is frozen.
 func (m *machine) watchLease() {
 	if m.dead {
 		return
@@ -128,7 +129,7 @@
 	m.watchLease()
 }
 
-// say has the worker report soon.
+// triggerReport makes the worker report soon.
 func (m *machine) say() {
 	select {
 	case m.poke <- struct{}{}:
--- a/internal/emulator/machine_commands.go
+++ b/internal/emulator/machine_commands.go
@@ -9,10 +9,10 @@
 	"daledyke/internal/protocol"
 )
 
-// What a worker is told directly, and how commands are carried out.
+// Direct commands to a worker and their execution.
 
-// onLoop does f on the loop once the machine does not hang: what came meanwhile is
-// carried out late. A machine that is gone answers nothing.
+// doWhenResponsive runs f on the loop once the machine responds: requests that arrive while it is frozen are
+// carried out late. A machine that is gone does not answer.
 func (m *machine) onLoop(f func()) {
 	for {
 		var resumed chan struct{}
@@ -27,7 +27,7 @@
 		if resumed == nil && !gone {
 			return
 		}
-		if lost { // it never arrives, and no answer comes
+		if lost { // the request is lost and gets no answer
 			Sleep(m.ctx, reportAnswer)
 		}
 		if gone || lost || m.ctx.Err() != nil {
@@ -53,7 +53,7 @@
 		return
 	}
 	var rep protocol.Report
-	sent := m.w.Elapsed() // the network takes no time
+	sent := m.w.Elapsed() // the network has no latency
 	held := false
 	if m.w.loop.do(func() {
 		if held = m.w.held > 0 && m.w.rng.Float64() < m.w.held; held {
@@ -81,7 +81,7 @@
 	answer(w, status, rep)
 }
 
-// obey carries commands out in their order; sent is when they were sent.
+// execute carries out commands in order; sent is when they were sent.
 func (m *machine) obey(commands []protocol.Command, sent time.Duration) {
 	for _, c := range commands {
 		t := m.tasks[c.Task]
--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -6,9 +6,9 @@
 	"daledyke/internal/history"
 )
 
-// What can happen to a machine.
+// Faults and lifecycle events of machines.
 
-// vanish has the machine be gone, by the cloud's doing.
+// remove makes the cloud remove the machine.
 func (m *machine) vanish(why string) {
 	if m.unlisted != nil {
 		return
@@ -23,7 +23,7 @@
 	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: why})
 }
 
-// fail has the machine stop on its own: it stays listed until it is deleted.
+// crash stops the machine without the cloud's doing; it remains listed until it is deleted.
 func (m *machine) fail() {
 	if m.dead {
 		return
@@ -63,7 +63,7 @@
 	m.say()
 }
 
-// deafen has nothing reach the machine any more, while its own messages go out.
+// dropInbound drops or holds all messages to the machine; its own messages are still sent.
 func (m *machine) deafen(held bool) {
 	if m.held = held; m.deaf {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// reboot has the machine begin anew within its address: what ran is gone, and the worker
-// remembers nothing of its sessions, messages and tokens.
+// reboot restarts the machine at once at the same address: its tasks are lost, and the worker restarts
+// without its session, ticket and token.
 func (m *machine) reboot() {
 	m.clear()
 	m.fetches, m.images = nil, nil
--- a/internal/emulator/machine_images.go
+++ b/internal/emulator/machine_images.go
@@ -7,21 +7,21 @@
 	"daledyke/internal/protocol"
 )
 
-// The images that a machine fetches and caches.
+// Images that a machine fetches and caches.
 
 type image struct {
 	name string
 	gb   float64
 }
 
-// fetch is an image on its way.
+// fetch is an image that is being fetched, and the GB that are left.
 type fetch struct {
 	image
 	left float64 // GB
 }
 
-// fetchOn takes the fetches on to now, and looks again when the next one ends. Images
-// that are fetched together share the rate; one that no task waits for is given up.
+// advanceFetches updates the fetches to the current time and schedules the next update. Concurrent fetches
+// share the rate; a fetch that no task waits for is cancelled.
 func (m *machine) fetchOn() {
 	now := time.Now()
 	rate := m.typ.FetchRate * m.fetchSpeed
@@ -66,7 +66,7 @@
 	m.fetchTimer = m.w.loop.after(protocol.Seconds(left*float64(len(m.fetches))/rate)+time.Millisecond, m.fetchOn)
 }
 
-// cache keeps an image, and drops the least recently used that no task uses.
+// cacheImage caches an image and evicts the least recently used images that no task uses.
 func (m *machine) cache(i image) {
 	size := i.gb
 	for _, other := range m.images {
@@ -88,7 +88,7 @@
 	m.images = append(m.images, i)
 }
 
-// has tells whether an image is here; it is the most recently used then.
+// hasImage reports whether an image is cached, and marks it as the most recently used.
 func (m *machine) has(name string) bool {
 	at := slices.IndexFunc(m.images, func(i image) bool { return i.name == name })
 	if at < 0 {
--- a/internal/emulator/machine_reports.go
+++ b/internal/emulator/machine_reports.go
@@ -11,9 +11,9 @@
 	"daledyke/internal/transport"
 )
 
-// What a worker reports to the controllers, and what it makes of the answers.
+// Reports of a worker to the controllers, and its handling of the answers.
 
-// snapshot is the worker's report.
+// snapshot returns the worker's report.
 func (m *machine) snapshot() protocol.Report {
 	m.ticket++
 	r := protocol.Report{Machine: m.id, Addr: m.addr, Type: m.kind.Type, Zone: m.kind.Zone, Spot: m.kind.Spot, Session: m.session,
@@ -28,7 +28,7 @@
 	return r
 }
 
-// report reports until the machine is gone, one report at a time.
+// reportLoop sends one report at a time until the machine is gone.
 func (m *machine) report() {
 	client := &http.Client{Transport: &http.Transport{DialContext: m.w.net.Dialer(m.id), MaxConnsPerHost: 1, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -64,7 +64,7 @@
 			continue
 		}
 		wait, poked := m.post(client, rep, boots, node, addr, every), (<-chan struct{})(m.poke)
-		if wait < every { // it goes to another node, whatever happens meanwhile
+		if wait < every { // it switches to another controller; a triggered report does not cut this delay short
 			poked = nil
 		}
 		t := time.NewTimer(wait)
@@ -81,7 +81,8 @@
 	}
 }
 
-// echo has a copy of a report come later, or kept, if that is the world's present trouble.
+// duplicateReport sends a delayed copy of a report, or keeps one for replay, while the world injects these
+// faults.
 func (m *machine) echo(rep protocol.Report) {
 	if _, kept := m.w.kept[m.id]; m.w.keeps && !kept {
 		m.w.kept[m.id] = rep
@@ -94,13 +95,12 @@
 	w.loop.after(w.echo, func() {
 		go func() {
 			c := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer(rep.Machine), DisableKeepAlives: true}}
-			request(w.loop.ctx, c, http.MethodPost, "http://"+to+"/checkin", rep, reportAnswer) // nobody hears the answer
+			request(w.loop.ctx, c, http.MethodPost, "http://"+to+"/checkin", rep, reportAnswer) // the answer is dropped
 		}()
 	})
 }
 
-// post sends a report and does what the answer says; it gives how long to wait until
-// the next one.
+// sendReport sends a report, carries out its answer and returns the time to wait before the next report.
 func (m *machine) post(client *http.Client, rep protocol.Report, boots int, node, addr string, every time.Duration) (wait time.Duration) {
 	sent := time.Now()
 	status, body := 0, []byte(nil)
@@ -109,14 +109,14 @@
 	}
 	deaf := false
 	if m.w.loop.do(func() { deaf = m.deaf }); deaf {
-		// The report came, its answer doesn't: it waits for it in vain.
+		// The report arrived, but its answer is dropped: the worker waits for it until the timeout.
 		if status != 0 && !Sleep(m.ctx, reportAnswer-time.Since(sent)) {
 			return nextNode
 		}
 		status = 0
 	}
 	wait = nextNode
-	lost := false // it goes to another node
+	lost := false // it switches to another controller
 	m.w.loop.do(func() {
 		next := (m.node + 1) % len(m.w.set.Controllers)
 		switch status {
@@ -145,14 +145,14 @@
 		lost = true
 	})
 	if lost {
-		// Not on the world's goroutine: closing waits for the network, which asks the world
-		// for zones while one is cut. Each waited for the other (incident emulator-cut-stall).
+		// Not on the world's goroutine: closing waits for the network, which asks the world for zones while a
+		// zone is partitioned. The two deadlocked here (incident emulator-cut-stall).
 		client.CloseIdleConnections()
 	}
 	return wait
 }
 
-// request makes one bounded request; status 0 is no answer.
+// request sends one request with a timeout; status 0 means no answer.
 func request(ctx context.Context, c *http.Client, method, url string, body any, timeout time.Duration) (status int, raw []byte) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/emulator/machine_test.go
+++ b/internal/emulator/machine_test.go
@@ -18,13 +18,13 @@
 	"daledyke/internal/protocol"
 )
 
-// TestWorlds replays the kept stories in testdata: what a controller asks of machines and
-// of the cloud, and what it must see, by the protocol's words. A line is "time verb
-// arguments"; the verbs are those of step. Time is virtual.
+// TestWorlds replays the scripts in testdata: requests of a controller to machines and the cloud, and the
+// results that the protocol requires. A line is "time verb arguments"; step implements the verbs. Time is
+// virtual.
 func TestWorlds(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.world")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no worlds", err)
+		t.Fatal("no scripts in testdata", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".world"), func(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// script is a world, and the one controller that the story is told by.
+// script is a world and the one controller that a test script drives.
 type script struct {
 	*World
 	net    *Pipes
@@ -41,7 +41,7 @@
 	token  protocol.Token
 	silent bool // the controller answers no reports
 	last   map[string]protocol.Report
-	late   map[string]chan int // answers that are awaited
+	late   map[string]chan int // answers that are still expected
 }
 
 func playWorld(t *testing.T, file string) {
@@ -76,7 +76,7 @@
 		}
 		at, err := time.ParseDuration(words[0])
 		if err != nil || len(words) < 2 {
-			t.Fatalf("line %d: %q is no step", n, lines.Text())
+			t.Fatalf("line %d: %q is not a step", n, lines.Text())
 		}
 		time.Sleep(max(0, at-w.Elapsed()))
 		if err := s.step(words[1], words[2:]); err != nil {
@@ -93,7 +93,7 @@
 	time.Sleep(time.Minute)
 }
 
-// front is the controller's door for reports.
+// front is the controller's endpoint for reports.
 func (s *script) front(w http.ResponseWriter, r *http.Request) {
 	var rep protocol.Report
 	if err := read(r, &rep); err != nil {
@@ -155,17 +155,17 @@
 				return e
 			}
 		}
-	case "rent": // rent STATUS BOOKING COUNT [spot]: of small machines in a
+	case "rent": // rent STATUS BOOKING COUNT [spot]: small machines in zone a
 		n, _ := strconv.Atoi(args[2])
 		status, raw := s.ask(http.MethodPost, "cloud:1/rentals", protocol.RentRequest{Booking: args[1], Type: "small", Zone: "a", Count: n, Spot: len(args) > 3})
 		if strconv.Itoa(status) != args[0] {
 			return fmt.Errorf("answer %d %s", status, raw)
 		}
-	case "cloud-late": // cloud-late TIME: rentals and returns are held up for so long
+	case "cloud-late": // cloud-late TIME: rentals and returns are delayed
 		by, err := time.ParseDuration(args[0])
 		s.DelayCloudRequests(by)
 		return err
-	case "rent-unanswered": // rent-unanswered BOOKING COUNT: its sender gives up after 3 s
+	case "rent-unanswered": // rent-unanswered BOOKING COUNT: the sender times out after 3 s
 		n, _ := strconv.Atoi(args[1])
 		status, _ := request(context.Background(), s.http, http.MethodPost, "http://cloud:1/rentals", protocol.RentRequest{Booking: args[0], Type: "small", Zone: "a", Count: n}, 3*time.Second)
 		if status != 0 {
@@ -186,9 +186,9 @@
 			}
 		}
 		if status != args[1] {
-			return fmt.Errorf("it is %s", status)
+			return fmt.Errorf("status %s", status)
 		}
-	case "spent": // spent MONEY, to a unit
+	case "spent": // spent MONEY, within one unit
 		want, _ := strconv.ParseFloat(args[0], 64)
 		if got := s.Sample().Money; got < want-1 || got > want+1 {
 			return fmt.Errorf("%.2f", got)
@@ -201,7 +201,7 @@
 		if status, _ := s.command(args[1], args[2:], s.token-1); strconv.Itoa(status) != args[0] {
 			return fmt.Errorf("answer %d", status)
 		}
-	case "send": // the same, and its answer is awaited later by "came STATUS MACHINE"
+	case "send": // the same; the answer is checked later by "came STATUS MACHINE"
 		c := make(chan int, 1)
 		s.late[args[0]] = c
 		go func() { status, _ := s.command(args[0], args[1:], s.token); c <- status }()
@@ -216,7 +216,7 @@
 				return fmt.Errorf("answer %d", status)
 			}
 		default:
-			return fmt.Errorf("nothing came")
+			return fmt.Errorf("no answer yet")
 		}
 	case "token":
 		n, _ := strconv.Atoi(args[0])
@@ -225,10 +225,10 @@
 		s.loop.do(func() { s.silent = args[0] == "on" })
 	case "machine": // machine MACHINE TROUBLE
 		return s.InjectFault(args[0], MachineFault(args[1]))
-	case "sees": // sees MACHINE TASK STATE [CAUSE [kept]]: its worker says so
+	case "sees": // sees MACHINE TASK STATE [CAUSE [kept]]: as the worker reports it
 		_, raw := s.ask(http.MethodGet, "worker-"+args[0]+":1/inspect", nil)
 		return says(raw, args[1], strings.Join(args[2:], " "))
-	case "reported": // the same, in the newest report that was answered
+	case "reported": // the same, in the last report that was answered
 		var rep protocol.Report
 		s.loop.do(func() { rep = s.last[args[0]] })
 		raw, _ := json.Marshal(rep)
@@ -237,7 +237,7 @@
 		var n uint64
 		s.loop.do(func() { n = s.machines[args[0]].session })
 		if strconv.FormatUint(n, 10) != args[1] {
-			return fmt.Errorf("shift %d", n)
+			return fmt.Errorf("session %d", n)
 		}
 	case "cached": // cached MACHINE IMAGE...
 		var got []string
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// says tells whether a report has a task in a state; "none" is not at all.
+// says checks that a report has a task in the wanted state; "none" means that it has no such task.
 func says(raw []byte, task, want string) error {
 	var rep protocol.Report
 	if err := json.Unmarshal(raw, &rep); err != nil {
@@ -274,7 +274,7 @@
 		}
 	}
 	if got != want {
-		return fmt.Errorf("it is %s", got)
+		return fmt.Errorf("state %s", got)
 	}
 	return nil
 }
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -7,7 +7,7 @@
 	"daledyke/internal/protocol"
 )
 
-// The causes of an exit that only the world gives.
+// Exit causes that only the emulator produces.
 const (
 	causeHalted     = "halted"
 	causePeers      = "peers"
@@ -17,19 +17,18 @@
 	causeUnknown    = "unknown"
 )
 
-// work is a job as the workers know it: its description and what is kept of its
-// progress outside the machines.
+// job is a job as the workers know it: its description and the progress that is saved outside the machines.
 type work struct {
 	w       *World
 	spec    *protocol.JobSpec
-	run     func(task int) time.Duration // on a machine of nominal speed; 0: for ever
+	run     func(task int) time.Duration // on a machine of nominal speed; 0: without end
 	mistake bool
 	tasks   map[int]*progress
 	gangs   map[uint64]*gang // by attempt
 	saved   time.Duration    // of a gang
 }
 
-// progress is what is kept of a task.
+// progress is the saved progress of a task.
 type progress struct {
 	saved time.Duration
 	done  bool
@@ -44,7 +43,7 @@
 	return p
 }
 
-// checkpoint is the last checkpoint at or before some progress.
+// checkpoint returns the last checkpoint at or before a given progress.
 func (k *work) checkpoint(made time.Duration) time.Duration {
 	every := protocol.Seconds(k.spec.CheckpointS)
 	if every <= 0 {
@@ -59,20 +58,20 @@
 	m     *machine
 	work  *work
 	index int
-	gang  *gang // of a gang's task, once it has its image
-	on    bool  // it is on the machine, as the rules count
-	holds bool  // it takes room
+	gang  *gang // of a gang's task, once the task has its image
+	on    bool  // the task counts as on the machine for the rules
+	holds bool  // the task occupies capacity
 	since time.Time
-	base  time.Duration // progress at since
+	base  time.Duration // progress at runningSince
 	timer *timer
 }
 
-// start carries a command to start out, or refuses it; t is the task with another
-// attempt that is here, if any, and sent is when the command was sent.
+// startTask carries out a start command, or refuses it; t is another attempt of the task on this machine, if
+// any, and sent is when the command was sent.
 func (m *machine) start(c protocol.Command, t *task, sent time.Duration) {
 	if t != nil && t.State != protocol.TaskExited {
 		m.w.note(history.Event{Kind: history.StartReceived, Task: c.Task, Machine: m.id, Attempt: c.Attempt, Sent: sent, Cause: causeInUse})
-		return // the report goes on telling of the attempt that is here
+		return // later reports still describe the present attempt
 	}
 	id, index, _ := protocol.SplitTask(c.Task)
 	k := m.w.works[id]
@@ -100,12 +99,12 @@
 			return
 		}
 	}
-	m.fetchOn() // those under way had the rate until now
+	m.fetchOn() // update the other fetches at their old rate first
 	m.fetches = append(m.fetches, &fetch{image{k.spec.Image, k.spec.ImageGB}, k.spec.ImageGB})
 	m.fetchOn()
 }
 
-// begin begins a task that has its image.
+// begin starts a task that has its image.
 func (t *task) begin() {
 	t.on = true
 	t.m.w.running++
@@ -126,7 +125,7 @@
 	}
 }
 
-// goOn has a task of no gang run on from its base; of a gang, all go on together.
+// resume continues a task from its baseProgress. The tasks of a gang are started by the gang instead.
 func (t *task) goOn() {
 	if t.gang != nil || t.State != protocol.TaskRunning || t.m.hung {
 		return
@@ -138,7 +137,7 @@
 	}
 }
 
-// pause holds a task's progress where it is; that of a gang is lost by it.
+// pause stops a task's progress; the gang of a gang's task fails.
 func (t *task) pause() {
 	if t.gang != nil {
 		t.gang.lost(t, false)
@@ -150,7 +149,7 @@
 	t.timer.stop()
 }
 
-// made is a running task's progress.
+// currentProgress returns a task's progress.
 func (t *task) made() time.Duration {
 	if t.since.IsZero() {
 		return t.base
@@ -158,7 +157,7 @@
 	return t.base + time.Duration(float64(time.Since(t.since))*t.m.speed)
 }
 
-// halt has a task end, saving first if there is time for it.
+// stop ends a task, and saves first if the grace period suffices.
 func (t *task) halt(grace *float64) {
 	saves := t.work != nil && t.work.spec.Checkpoints() && grace != nil && *grace >= t.work.spec.SaveS
 	switch {
@@ -184,7 +183,7 @@
 	t.m.w.note(history.Event{Kind: history.AttemptEnded, Task: t.Task, Machine: t.m.id, Attempt: t.Attempt, Cause: t.Cause})
 }
 
-// leave ends a task on its machine, for a cause. Of a gang, the others notice.
+// exit ends a task on its machine with a cause. If the task is in a gang, the gang loses a member.
 func (t *task) leave(cause string) {
 	if t.State == protocol.TaskExited {
 		return
