--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -63,7 +63,7 @@
 			}
 			for _, id := range q.Machines {
 				if m := w.machines[id]; m != nil {
-					m.vanish("returned")
+					m.remove("returned")
 				}
 			}
 			return http.StatusOK, struct{}{}
@@ -135,8 +135,8 @@
 func (w *World) newMachine(q protocol.RentRequest, t *protocol.MachineType) *machine {
 	id := fmt.Sprintf("host-%06d", w.made)
 	v := w.set.Variation
-	m := &machine{w: w, id: id, kind: q, typ: t, born: time.Now(), session: 1, tasks: map[string]*task{}, speed: 1, fetchSpeed: 1,
-		node: w.made % max(1, len(w.set.Controllers)), poke: make(chan struct{}, 1), resumed: make(chan struct{})}
+	m := &machine{w: w, id: id, kind: q, typ: t, rentedAt: time.Now(), session: 1, tasks: map[string]*task{}, speed: 1, fetchSpeed: 1,
+		controller: w.made % max(1, len(w.set.Controllers)), reportNow: make(chan struct{}, 1), resumed: make(chan struct{})}
 	close(m.resumed)
 	w.made++
 	boot := t.BootS * w.boots
@@ -149,13 +149,13 @@
 	if v.Speeds {
 		m.speed, m.fetchSpeed = w.spread(0.9, 1), w.spread(0.67, 1.33)
 	}
-	m.listed = m.born.Add(w.lag())
+	m.listedFrom = m.rentedAt.Add(w.lag())
 	w.machines[id] = m
 	w.order = append(w.order, m)
 	w.charge(m, 1)
 	w.note(history.Event{Kind: history.MachineRented, Machine: id, Type: q.Type, Zone: q.Zone, Spot: q.Spot})
 	if !v.Boots || w.rng.Float64() >= v.NeverUp {
-		w.loop.after(protocol.Seconds(boot), m.comeUp)
+		w.loop.after(protocol.Seconds(boot), m.startWorker)
 	}
 	return m
 }
@@ -192,7 +192,7 @@
 	w.lives[m.typ.Name] += sign
 	w.hourly += float64(sign) * w.price(m)
 	if sign < 0 {
-		w.money += w.price(m) * max(0, leastCharge-time.Since(m.born)).Hours()
+		w.money += w.price(m) * max(0, leastCharge-time.Since(m.rentedAt)).Hours()
 	}
 	if w.live == 0 {
 		w.hourly = 0 // clears rounding errors
@@ -225,7 +225,7 @@
 		at++
 	}
 	for _, m := range w.order[at:] {
-		if now.Before(m.listed) || m.unlisted != nil && !now.Before(*m.unlisted) {
+		if now.Before(m.listedFrom) || m.unlistedFrom != nil && !now.Before(*m.unlistedFrom) {
 			continue
 		}
 		if len(l.Machines) == most {
@@ -234,13 +234,13 @@
 		}
 		status := "starting"
 		switch {
-		case m.failed != nil && now.After(m.failed.Add(listedDead)):
+		case m.failedAt != nil && now.After(m.failedAt.Add(listedDead)):
 			status = "failed"
 		case m.up && !now.Before(m.upAt.Add(w.set.Variation.ListLag)):
 			status = "running"
 		}
 		l.Machines = append(l.Machines, protocol.Machine{ID: m.id, Addr: m.addr, Type: m.kind.Type, Zone: m.kind.Zone, Spot: m.kind.Spot,
-			Status: status, AgeS: max(0, now.Sub(m.born)-w.set.Variation.ListLag).Seconds()})
+			Status: status, AgeS: max(0, now.Sub(m.rentedAt)-w.set.Variation.ListLag).Seconds()})
 	}
 	return l
 }
@@ -250,5 +250,5 @@
 	if len(w.order) < 2*len(w.machines)+100 {
 		return
 	}
-	w.order = slices.DeleteFunc(w.order, func(m *machine) bool { return m.unlisted != nil && !now.Before(*m.unlisted) })
+	w.order = slices.DeleteFunc(w.order, func(m *machine) bool { return m.unlistedFrom != nil && !now.Before(*m.unlistedFrom) })
 }
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -13,32 +13,32 @@
 // same number form a new gang: the protocol does not say that a number is used only once, and an owner that
 // missed the gang's start replaces lost tasks under the old number.
 type gang struct {
-	work    *work
-	attempt uint64
-	members map[int]*task
-	running bool
-	broken  bool // a member is lost; the others fail after GangPeer
-	since   time.Time
-	base    time.Duration
-	speed   float64
-	end     *timer
+	job          *job
+	attempt      uint64
+	members      map[int]*task
+	running      bool
+	dissolved    bool // later losses have no effect, and no task joins
+	runningSince time.Time
+	baseProgress time.Duration
+	speed        float64
+	end          *timer
 	// stopping are the tasks that were told to save and stop, saved those that have saved; stopProgress is
 	// the progress at the first such command.
-	halted, saved map[*task]bool
-	made          time.Duration
+	stopping, saved map[*task]bool
+	stopProgress    time.Duration
 }
 
 // join makes a task that has its image wait for the other tasks of its attempt.
-func (k *work) join(t *task) {
+func (k *job) join(t *task) {
 	g := k.gangs[t.Attempt]
 	if g == nil { // remaining tasks of a failed gang are not joined
-		g = &gang{work: k, attempt: t.Attempt, members: map[int]*task{}, halted: map[*task]bool{}, saved: map[*task]bool{}}
+		g = &gang{job: k, attempt: t.Attempt, members: map[int]*task{}, stopping: map[*task]bool{}, saved: map[*task]bool{}}
 		k.gangs[t.Attempt] = g
 	}
 	t.gang = g
 	g.members[t.index] = t
 	if len(g.members) < k.spec.Tasks {
-		t.timer = k.w.loop.after(k.w.set.GangWait, func() { t.leave(causeIncomplete) })
+		t.timer = k.w.loop.after(k.w.set.GangWait, func() { t.exit(causeIncomplete) })
 		return
 	}
 	g.start()
@@ -50,103 +50,103 @@
 
 // start starts all tasks together; the slowest machine sets the speed.
 func (g *gang) start() {
-	g.running, g.base, g.since, g.speed = true, g.work.saved, time.Now(), 1
+	g.running, g.baseProgress, g.runningSince, g.speed = true, g.job.saved, time.Now(), 1
 	for _, t := range g.sorted() {
 		t.timer.stop()
 		t.State = protocol.TaskRunning
 		g.speed = min(g.speed, t.m.speed)
-		t.m.say()
+		t.m.triggerReport()
 	}
 	for _, t := range g.sorted() {
-		if t.m.hung {
-			g.lost(t, false)
+		if t.m.frozen {
+			g.memberLost(t, false)
 			return
 		}
 	}
-	left := time.Duration(float64(g.work.run(0)-g.base) / g.speed)
-	g.end = g.work.w.loop.after(left, func() {
-		g.over()
+	left := time.Duration(float64(g.job.run(0)-g.baseProgress) / g.speed)
+	g.end = g.job.w.loop.after(left, func() {
+		g.dissolve()
 		for _, t := range g.sorted() {
 			t.gang = nil
-			t.leave(protocol.CauseDone)
+			t.exit(protocol.CauseDone)
 		}
 	})
 }
 
 // dissolve ends the gang: later losses have no effect, and no task joins it.
-func (g *gang) over() {
-	g.broken = true
-	if g.work.gangs[g.attempt] == g {
-		delete(g.work.gangs, g.attempt)
+func (g *gang) dissolve() {
+	g.dissolved = true
+	if g.job.gangs[g.attempt] == g {
+		delete(g.job.gangs, g.attempt)
 	}
 }
 
 // progress returns the current progress of a running gang.
 func (g *gang) progress() time.Duration {
-	return g.base + time.Duration(float64(time.Since(g.since))*g.speed)
+	return g.baseProgress + time.Duration(float64(time.Since(g.runningSince))*g.speed)
 }
 
 // memberLost records that a task has left or that its machine is frozen. The other members fail after
-// GangPeer, and progress since the last checkpoint is lost.
-func (g *gang) lost(t *task, gone bool) {
+// GangPeer, and progress since the last checkpoint is memberLost.
+func (g *gang) memberLost(t *task, gone bool) {
 	if gone && g.members[t.index] == t {
 		delete(g.members, t.index)
 	}
-	if !g.running || g.broken {
+	if !g.running || g.dissolved {
 		return
 	}
-	g.over()
+	g.dissolve()
 	g.end.stop()
-	reached := g.made
-	if len(g.halted) == 0 {
+	reached := g.stopProgress
+	if len(g.stopping) == 0 {
 		reached = g.progress()
 	}
-	g.work.saved = max(g.work.saved, g.work.checkpoint(reached))
-	g.work.w.loop.after(g.work.w.set.GangPeer, func() { g.disband(causePeers) })
+	g.job.saved = max(g.job.saved, g.job.checkpoint(reached))
+	g.job.w.loop.after(g.job.w.set.GangPeer, func() { g.endMembers(causePeers) })
 }
 
 // endMembers ends all remaining tasks. Tasks on frozen machines end after these resume.
-func (g *gang) disband(cause string) {
+func (g *gang) endMembers(cause string) {
 	again := false
 	for _, t := range g.sorted() {
-		if t.m.hung {
+		if t.m.frozen {
 			again = true
 			continue
 		}
 		t.gang = nil
 		delete(g.members, t.index)
-		if g.halted[t] {
-			t.leave(causeHalted)
+		if g.stopping[t] {
+			t.exit(causeHalted)
 		} else {
-			t.leave(cause)
+			t.exit(cause)
 		}
 	}
 	if again {
 		// Schedule one retry for all frozen machines. One retry per machine doubled the work every second,
 		// and a run with four machines that were frozen for 46 s exhausted the memory (incident
 		// emulator-gang-memory).
-		g.work.w.loop.after(time.Second, func() { g.disband(cause) })
+		g.job.w.loop.after(time.Second, func() { g.endMembers(cause) })
 	}
 }
 
 // stopMember stops one task of a running gang: in an orderly stop with all others, or alone, which fails the
 // gang.
-func (g *gang) halt(t *task, saves bool, grace *float64) {
+func (g *gang) stopMember(t *task, saves bool, grace *float64) {
 	switch {
-	case g.broken || !saves:
+	case g.dissolved || !saves:
 		if t.State == protocol.TaskFlushing && grace != nil && *grace > 0 {
 			return
 		}
-		t.leave(causeHalted)
-	case !g.halted[t]:
-		if len(g.halted) == 0 {
-			g.made = g.progress()
+		t.exit(causeHalted)
+	case !g.stopping[t]:
+		if len(g.stopping) == 0 {
+			g.stopProgress = g.progress()
 			g.end.stop()
-			g.work.w.loop.after(g.work.w.set.GangPeer, g.incomplete)
+			g.job.w.loop.after(g.job.w.set.GangPeer, g.failStop)
 		}
-		g.halted[t] = true
+		g.stopping[t] = true
 		t.State = protocol.TaskFlushing
-		t.timer = g.work.w.loop.after(protocol.Seconds(g.work.spec.SaveS), func() {
+		t.timer = g.job.w.loop.after(protocol.Seconds(g.job.spec.SaveS), func() {
 			g.saved[t] = true
 			g.finish()
 		})
@@ -154,25 +154,25 @@
 }
 
 // failStop fails an orderly stop if not all members were told to stop in time.
-func (g *gang) incomplete() {
-	if g.broken || len(g.halted) == g.work.spec.Tasks {
+func (g *gang) failStop() {
+	if g.dissolved || len(g.stopping) == g.job.spec.Tasks {
 		return
 	}
-	g.over()
-	g.work.saved = max(g.work.saved, g.work.checkpoint(g.made))
-	g.disband(causePeers)
+	g.dissolve()
+	g.job.saved = max(g.job.saved, g.job.checkpoint(g.stopProgress))
+	g.endMembers(causePeers)
 }
 
 // finishStop completes an orderly stop once all members have saved.
 func (g *gang) finish() {
-	if g.broken || len(g.saved) < g.work.spec.Tasks {
+	if g.dissolved || len(g.saved) < g.job.spec.Tasks {
 		return
 	}
-	g.over()
-	g.work.saved = g.made
+	g.dissolve()
+	g.job.saved = g.stopProgress
 	for _, t := range g.sorted() {
 		t.gang = nil
 		t.Saved = true
-		t.leave(causeHalted)
+		t.exit(causeHalted)
 	}
 }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -13,63 +13,63 @@
 
 // machine is a rented machine with its worker.
 type machine struct {
-	w                 *World
-	id, addr          string
-	kind              protocol.RentRequest
-	typ               *protocol.MachineType
-	born, upAt        time.Time
-	listed            time.Time  // appears in the machine list from then on
-	unlisted, failed  *time.Time // nil: never
-	leaves            *time.Time // the cloud reclaims it then
-	up, dead, charged bool
-	hung, faulty      bool
+	w                      *World
+	id, addr               string
+	kind                   protocol.RentRequest
+	typ                    *protocol.MachineType
+	rentedAt, upAt         time.Time
+	listedFrom             time.Time  // appears in the machine list from then on
+	unlistedFrom, failedAt *time.Time // nil: never
+	reclaimAt              *time.Time // the cloud reclaims it then
+	up, dead, charged      bool
+	frozen, faulty         bool
 	// inboundDropped: answers and commands do not reach the machine; inboundHeld: commands are delivered once
 	// inbound messages are restored.
-	deaf, held        bool
-	mute              bool // its reports reach no controller; commands arrive and are answered
-	speed, fetchSpeed float64
-	session, ticket   uint64
-	boots             int // number of reboots
-	token             protocol.Token
-	told              time.Time // last report triggered by a higher token
-	renewed           time.Time // when the last answered report was sent
-	tasks             map[string]*task
-	free              protocol.Room
-	images            []image // least recently used first
-	fetches           []*fetch
-	fetchedTo         time.Time
-	fetchTimer        *timer
-	node              int // index of the controller that it reports to
-	poke              chan struct{}
-	resumed           chan struct{} // closed unless it is frozen or inbound messages are dropped
-	ended             context.CancelFunc
-	ctx               context.Context
+	inboundDropped, inboundHeld bool
+	outboundBlocked             bool // its reports reach no controller; commands arrive and are answered
+	speed, fetchSpeed           float64
+	session, ticket             uint64
+	reboots                     int // number of reboots
+	token                       protocol.Token
+	triggeredAt                 time.Time // last report triggered by a higher token
+	renewedAt                   time.Time // when the last answered report was sent
+	tasks                       map[string]*task
+	free                        protocol.Room
+	images                      []image // least recently used first
+	fetches                     []*fetch
+	fetchedTo                   time.Time
+	fetchTimer                  *timer
+	controller                  int // index of the controller that it reports to
+	reportNow                   chan struct{}
+	resumed                     chan struct{} // closed unless it is frozen or inbound messages are dropped
+	ended                       context.CancelFunc
+	ctx                         context.Context
 }
 
 // The worker's intervals and timeouts that the protocol defines.
 const (
-	leastGap     = 500 * time.Millisecond // least time between two reports
-	nextNode     = time.Second            // delay before the next controller is tried after a failure
-	reportAnswer = 4 * time.Second
-	redirected   = 100 * time.Millisecond
+	minReportGap  = 500 * time.Millisecond // least time between two reports
+	failoverDelay = time.Second            // delay before the next controller is tried after a failure
+	reportTimeout = 4 * time.Second
+	redirectDelay = 100 * time.Millisecond
 )
 
 // startWorker starts the worker once the machine has booted.
-func (m *machine) comeUp() {
+func (m *machine) startWorker() {
 	if m.dead {
 		return
 	}
-	m.up, m.upAt, m.renewed, m.free = true, time.Now(), time.Now(), m.typ.Room()
+	m.up, m.upAt, m.renewedAt, m.free = true, time.Now(), time.Now(), m.typ.Room()
 	m.w.whole = m.w.whole.Add(m.free)
 	m.ctx, m.ended = context.WithCancel(m.w.loop.ctx)
-	go m.open()
+	go m.serve()
 }
 
 // serve opens the worker's listener and begins to report; the worker's address is known only then.
-func (m *machine) open() {
+func (m *machine) serve() {
 	l, err := m.w.net.Listen("worker-" + m.id)
 	if err != nil {
-		m.w.loop.do(func() { m.fail() }) // a machine without a port counts as crashed
+		m.w.loop.do(func() { m.crash() }) // a machine without a port counts as crashed
 		return
 	}
 	r := httprouter.New()
@@ -83,18 +83,18 @@
 		m.w.note(history.Event{Kind: history.WorkerUp, Machine: m.id})
 	})
 	go srv.Serve(l)
-	m.report()
+	m.reportLoop()
 }
 
 // shutDown removes the machine's capacity and tasks.
-func (m *machine) stop() {
+func (m *machine) shutDown() {
 	if m.dead {
 		return
 	}
-	m.clear()
+	m.clearTasks()
 	m.dead = true
-	if m.hung || m.deaf {
-		m.hung, m.deaf = false, false
+	if m.frozen || m.inboundDropped {
+		m.frozen, m.inboundDropped = false, false
 		close(m.resumed)
 	}
 	if m.up {
@@ -104,10 +104,10 @@
 }
 
 // clearTasks kills and removes all tasks.
-func (m *machine) clear() {
+func (m *machine) clearTasks() {
 	for _, t := range m.sorted() {
 		if t.State != protocol.TaskExited {
-			t.leave("killed")
+			t.exit("killed")
 		}
 	}
 	m.tasks = map[string]*task{}
@@ -118,21 +118,21 @@
 	if m.dead {
 		return
 	}
-	if left := m.w.set.Lease - time.Since(m.renewed); left >= 0 {
+	if left := m.w.set.Lease - time.Since(m.renewedAt); left >= 0 {
 		m.w.loop.after(left+time.Millisecond, m.watchLease)
 		return
 	}
-	m.clear()
+	m.clearTasks()
 	m.session++
-	m.renewed = time.Now()
-	m.say()
+	m.renewedAt = time.Now()
+	m.triggerReport()
 	m.watchLease()
 }
 
 // triggerReport makes the worker report soon.
-func (m *machine) say() {
+func (m *machine) triggerReport() {
 	select {
-	case m.poke <- struct{}{}:
+	case m.reportNow <- struct{}{}:
 	default:
 	}
 }
--- a/internal/emulator/machine_commands.go
+++ b/internal/emulator/machine_commands.go
@@ -13,13 +13,13 @@
 
 // doWhenResponsive runs f on the loop once the machine responds: requests that arrive while it is frozen are
 // carried out late. A machine that is gone does not answer.
-func (m *machine) onLoop(f func()) {
+func (m *machine) doWhenResponsive(f func()) {
 	for {
 		var resumed chan struct{}
 		lost := false
 		gone := !m.w.loop.do(func() {
-			resumed, lost = m.resumed, m.deaf && !m.held
-			if !m.hung && !m.deaf && !m.dead {
+			resumed, lost = m.resumed, m.inboundDropped && !m.inboundHeld
+			if !m.frozen && !m.inboundDropped && !m.dead {
 				f()
 				resumed = nil
 			}
@@ -28,7 +28,7 @@
 			return
 		}
 		if lost { // the request is lost and gets no answer
-			Sleep(m.ctx, reportAnswer)
+			Sleep(m.ctx, reportTimeout)
 		}
 		if gone || lost || m.ctx.Err() != nil {
 			panic(http.ErrAbortHandler)
@@ -42,7 +42,7 @@
 
 func (m *machine) inspect(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	var rep protocol.Report
-	m.onLoop(func() { rep = m.snapshot() })
+	m.doWhenResponsive(func() { rep = m.snapshot() })
 	answer(w, http.StatusOK, rep)
 }
 
@@ -58,9 +58,9 @@
 	if m.w.loop.do(func() {
 		if held = m.w.held > 0 && m.w.rng.Float64() < m.w.held; held {
 			m.w.loop.after(time.Duration(m.w.spread(2, 16)*float64(time.Second)), func() {
-				if !m.hung && !m.deaf && !m.dead && o.Token >= m.token && o.Session == m.session {
+				if !m.frozen && !m.inboundDropped && !m.dead && o.Token >= m.token && o.Session == m.session {
 					m.token = o.Token
-					m.obey(o.Commands, sent)
+					m.execute(o.Commands, sent)
 				}
 			})
 		}
@@ -69,12 +69,12 @@
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
-	m.onLoop(func() {
+	m.doWhenResponsive(func() {
 		if o.Token < m.token || o.Session != m.session {
 			status = http.StatusConflict
 		} else {
 			m.token = o.Token
-			m.obey(o.Commands, sent)
+			m.execute(o.Commands, sent)
 		}
 		rep = m.snapshot()
 	})
@@ -82,20 +82,20 @@
 }
 
 // execute carries out commands in order; sent is when they were sent.
-func (m *machine) obey(commands []protocol.Command, sent time.Duration) {
+func (m *machine) execute(commands []protocol.Command, sent time.Duration) {
 	for _, c := range commands {
 		t := m.tasks[c.Task]
 		switch {
 		case c.Verb == protocol.VerbStart && (t == nil || t.Attempt != c.Attempt):
-			m.start(c, t, sent)
+			m.startTask(c, t, sent)
 		case t == nil || t.Attempt != c.Attempt:
 		case c.Verb == protocol.VerbStop:
-			t.halt(c.GraceS)
+			t.stop(c.GraceS)
 		case c.Verb == protocol.VerbForget && t.State == protocol.TaskExited:
 			delete(m.tasks, c.Task)
 		}
 	}
 	if len(commands) > 0 {
-		m.say()
+		m.triggerReport()
 	}
 }
--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -9,75 +9,75 @@
 // Faults and lifecycle events of machines.
 
 // remove makes the cloud remove the machine.
-func (m *machine) vanish(why string) {
-	if m.unlisted != nil {
+func (m *machine) remove(why string) {
+	if m.unlistedFrom != nil {
 		return
 	}
-	m.stop()
+	m.shutDown()
 	if m.charged {
 		m.w.charge(m, -1)
 	}
 	at := time.Now().Add(m.w.lag())
-	m.unlisted = &at
+	m.unlistedFrom = &at
 	delete(m.w.machines, m.id)
 	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: why})
 }
 
 // crash stops the machine without the cloud's doing; it remains listed until it is deleted.
-func (m *machine) fail() {
+func (m *machine) crash() {
 	if m.dead {
 		return
 	}
-	m.stop()
+	m.shutDown()
 	m.w.charge(m, -1)
 	now := time.Now()
-	m.failed = &now
+	m.failedAt = &now
 	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: "died"})
 }
 
-func (m *machine) hang() {
-	if m.hung {
+func (m *machine) freeze() {
+	if m.frozen {
 		return
 	}
-	if m.hung = true; !m.deaf {
+	if m.frozen = true; !m.inboundDropped {
 		m.resumed = make(chan struct{})
 	}
 	for _, t := range m.sorted() {
 		t.pause()
 	}
-	m.fetchOn()
+	m.advanceFetches()
 }
 
 func (m *machine) resume() {
-	if !m.hung {
+	if !m.frozen {
 		return
 	}
-	if m.hung = false; !m.deaf {
+	if m.frozen = false; !m.inboundDropped {
 		close(m.resumed)
 	}
 	m.fetchedTo = time.Now()
 	for _, t := range m.sorted() {
-		t.goOn()
+		t.resume()
 	}
-	m.fetchOn()
-	m.say()
+	m.advanceFetches()
+	m.triggerReport()
 }
 
 // dropInbound drops or holds all messages to the machine; its own messages are still sent.
-func (m *machine) deafen(held bool) {
-	if m.held = held; m.deaf {
+func (m *machine) dropInbound(held bool) {
+	if m.inboundHeld = held; m.inboundDropped {
 		return
 	}
-	if m.deaf = true; !m.hung {
+	if m.inboundDropped = true; !m.frozen {
 		m.resumed = make(chan struct{})
 	}
 }
 
-func (m *machine) hear() {
-	if !m.deaf {
+func (m *machine) restoreInbound() {
+	if !m.inboundDropped {
 		return
 	}
-	if m.deaf = false; !m.hung {
+	if m.inboundDropped = false; !m.frozen {
 		close(m.resumed)
 	}
 }
@@ -85,12 +85,12 @@
 // reboot restarts the machine at once at the same address: its tasks are lost, and the worker restarts
 // without its session, ticket and token.
 func (m *machine) reboot() {
-	m.clear()
+	m.clearTasks()
 	m.fetches, m.images = nil, nil
 	m.session, m.ticket, m.token = 1, 0, 0
-	m.renewed, m.told, m.node = time.Now(), time.Time{}, 0
-	m.boots++
-	m.say()
+	m.renewedAt, m.triggeredAt, m.controller = time.Now(), time.Time{}, 0
+	m.reboots++
+	m.triggerReport()
 }
 
 // slowDown changes the machine's speed while its tasks run.
@@ -101,6 +101,6 @@
 	}
 	m.speed *= factor
 	for _, t := range running {
-		t.goOn()
+		t.resume()
 	}
 }
--- a/internal/emulator/machine_images.go
+++ b/internal/emulator/machine_images.go
@@ -22,7 +22,7 @@
 
 // advanceFetches updates the fetches to the current time and schedules the next update. Concurrent fetches
 // share the rate; a fetch that no task waits for is cancelled.
-func (m *machine) fetchOn() {
+func (m *machine) advanceFetches() {
 	now := time.Now()
 	rate := m.typ.FetchRate * m.fetchSpeed
 	if n := len(m.fetches); n > 0 && rate > 0 && !m.fetchedTo.IsZero() {
@@ -35,26 +35,26 @@
 	wanted := map[string][]*task{}
 	for _, t := range m.sorted() {
 		if t.State == protocol.TaskPulling {
-			wanted[t.work.spec.Image] = append(wanted[t.work.spec.Image], t)
+			wanted[t.job.spec.Image] = append(wanted[t.job.spec.Image], t)
 		}
 	}
-	var here []string
+	var fetched []string
 	const least = 1e-6
 	m.fetches = slices.DeleteFunc(m.fetches, func(f *fetch) bool {
 		if len(wanted[f.name]) > 0 && (f.left <= least || rate <= 0) {
-			m.cache(f.image)
-			here = append(here, f.name)
+			m.cacheImage(f.image)
+			fetched = append(fetched, f.name)
 			return true
 		}
 		return len(wanted[f.name]) == 0
 	})
-	for _, name := range here {
+	for _, name := range fetched {
 		for _, t := range wanted[name] {
 			t.begin()
 		}
-		m.say()
+		m.triggerReport()
 	}
-	if len(m.fetches) == 0 || m.hung {
+	if len(m.fetches) == 0 || m.frozen {
 		return
 	}
 	left := slices.MinFunc(m.fetches, func(a, b *fetch) int {
@@ -63,11 +63,11 @@
 		}
 		return 1
 	}).left
-	m.fetchTimer = m.w.loop.after(protocol.Seconds(left*float64(len(m.fetches))/rate)+time.Millisecond, m.fetchOn)
+	m.fetchTimer = m.w.loop.after(protocol.Seconds(left*float64(len(m.fetches))/rate)+time.Millisecond, m.advanceFetches)
 }
 
 // cacheImage caches an image and evicts the least recently used images that no task uses.
-func (m *machine) cache(i image) {
+func (m *machine) cacheImage(i image) {
 	size := i.gb
 	for _, other := range m.images {
 		size += other.gb
@@ -75,7 +75,7 @@
 	used := map[string]bool{}
 	for _, t := range m.tasks {
 		if t.State != protocol.TaskExited {
-			used[t.work.spec.Image] = true
+			used[t.job.spec.Image] = true
 		}
 	}
 	m.images = slices.DeleteFunc(m.images, func(other image) bool {
@@ -89,7 +89,7 @@
 }
 
 // hasImage reports whether an image is cached, and marks it as the most recently used.
-func (m *machine) has(name string) bool {
+func (m *machine) hasImage(name string) bool {
 	at := slices.IndexFunc(m.images, func(i image) bool { return i.name == name })
 	if at < 0 {
 		return false
--- a/internal/emulator/machine_reports.go
+++ b/internal/emulator/machine_reports.go
@@ -18,8 +18,8 @@
 	m.ticket++
 	r := protocol.Report{Machine: m.id, Addr: m.addr, Type: m.kind.Type, Zone: m.kind.Zone, Spot: m.kind.Spot, Session: m.session,
 		Ticket: m.ticket, Token: m.token, Tasks: make([]protocol.TaskReport, 0, len(m.tasks))}
-	if m.leaves != nil {
-		left := max(0, time.Until(*m.leaves)).Seconds()
+	if m.reclaimAt != nil {
+		left := max(0, time.Until(*m.reclaimAt)).Seconds()
 		r.NoticeS = &left
 	}
 	for _, t := range m.sorted() {
@@ -28,8 +28,8 @@
 	return r
 }
 
-// reportLoop sends one report at a time until the machine is gone.
-func (m *machine) report() {
+// reportLoop sends one reportLoop at a time until the machine is gone.
+func (m *machine) reportLoop() {
 	client := &http.Client{Transport: &http.Transport{DialContext: m.w.net.Dialer(m.id), MaxConnsPerHost: 1, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	for {
@@ -39,15 +39,15 @@
 		boots := 0
 		every := m.w.set.ReportEvery
 		if !m.w.loop.do(func() {
-			if resumed = m.resumed; m.hung || m.dead {
+			if resumed = m.resumed; m.frozen || m.dead {
 				return
 			}
-			rep, boots = m.snapshot(), m.boots
-			node = m.w.set.Controllers[m.node]
-			if addr = m.w.fronts[node]; m.mute {
+			rep, boots = m.snapshot(), m.reboots
+			node = m.w.set.Controllers[m.controller]
+			if addr = m.w.fronts[node]; m.outboundBlocked {
 				addr = "" // no connection can be opened
 			} else {
-				m.echo(rep)
+				m.duplicateReport(rep)
 			}
 			if m.w.set.Variation.Reports {
 				every = time.Duration(float64(every) * m.w.spread(0.75, 1.25))
@@ -63,14 +63,14 @@
 			}
 			continue
 		}
-		wait, poked := m.post(client, rep, boots, node, addr, every), (<-chan struct{})(m.poke)
+		wait, triggered := m.sendReport(client, rep, boots, node, addr, every), (<-chan struct{})(m.reportNow)
 		if wait < every { // it switches to another controller; a triggered report does not cut this delay short
-			poked = nil
+			triggered = nil
 		}
 		t := time.NewTimer(wait)
 		select {
-		case <-poked:
-			if !Sleep(m.ctx, leastGap) {
+		case <-triggered:
+			if !Sleep(m.ctx, minReportGap) {
 				return
 			}
 		case <-t.C:
@@ -83,7 +83,7 @@
 
 // duplicateReport sends a delayed copy of a report, or keeps one for replay, while the world injects these
 // faults.
-func (m *machine) echo(rep protocol.Report) {
+func (m *machine) duplicateReport(rep protocol.Report) {
 	if _, kept := m.w.kept[m.id]; m.w.keeps && !kept {
 		m.w.kept[m.id] = rep
 	}
@@ -95,56 +95,56 @@
 	w.loop.after(w.echo, func() {
 		go func() {
 			c := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer(rep.Machine), DisableKeepAlives: true}}
-			request(w.loop.ctx, c, http.MethodPost, "http://"+to+"/checkin", rep, reportAnswer) // the answer is dropped
+			request(w.loop.ctx, c, http.MethodPost, "http://"+to+"/checkin", rep, reportTimeout) // the answer is dropped
 		}()
 	})
 }
 
 // sendReport sends a report, carries out its answer and returns the time to wait before the next report.
-func (m *machine) post(client *http.Client, rep protocol.Report, boots int, node, addr string, every time.Duration) (wait time.Duration) {
+func (m *machine) sendReport(client *http.Client, rep protocol.Report, boots int, node, addr string, every time.Duration) (wait time.Duration) {
 	sent := time.Now()
 	status, body := 0, []byte(nil)
 	if addr != "" {
-		status, body = request(m.ctx, client, http.MethodPost, "http://"+addr+"/checkin", rep, reportAnswer)
+		status, body = request(m.ctx, client, http.MethodPost, "http://"+addr+"/checkin", rep, reportTimeout)
 	}
 	deaf := false
-	if m.w.loop.do(func() { deaf = m.deaf }); deaf {
+	if m.w.loop.do(func() { deaf = m.inboundDropped }); deaf {
 		// The report arrived, but its answer is dropped: the worker waits for it until the timeout.
-		if status != 0 && !Sleep(m.ctx, reportAnswer-time.Since(sent)) {
-			return nextNode
+		if status != 0 && !Sleep(m.ctx, reportTimeout-time.Since(sent)) {
+			return failoverDelay
 		}
 		status = 0
 	}
-	wait = nextNode
-	lost := false // it switches to another controller
+	wait = failoverDelay
+	switched := false // it switches to another controller
 	m.w.loop.do(func() {
-		next := (m.node + 1) % len(m.w.set.Controllers)
+		next := (m.controller + 1) % len(m.w.set.Controllers)
 		switch status {
 		case http.StatusOK:
 			var a protocol.ReportAnswer
 			wait = every
-			if json.Unmarshal(body, &a) != nil || a.Token < m.token || rep.Session != m.session || m.hung || m.dead || boots != m.boots {
+			if json.Unmarshal(body, &a) != nil || a.Token < m.token || rep.Session != m.session || m.frozen || m.dead || boots != m.reboots {
 				return
 			}
-			if a.Token > m.token && time.Since(m.told) >= m.w.set.Lease/2 {
-				m.told = time.Now()
-				m.say()
+			if a.Token > m.token && time.Since(m.triggeredAt) >= m.w.set.Lease/2 {
+				m.triggeredAt = time.Now()
+				m.triggerReport()
 			}
-			m.token, m.renewed = a.Token, sent
-			m.obey(a.Commands, m.w.Elapsed())
+			m.token, m.renewedAt = a.Token, sent
+			m.execute(a.Commands, m.w.Elapsed())
 			return
 		case http.StatusMisdirectedRequest:
 			var red protocol.Redirect
 			if json.Unmarshal(body, &red) == nil && red.Node != "" && red.Node != node {
 				if at := slices.Index(m.w.set.Controllers, red.Node); at >= 0 {
-					next, wait = at, redirected
+					next, wait = at, redirectDelay
 				}
 			}
 		}
-		m.node = next
-		lost = true
+		m.controller = next
+		switched = true
 	})
-	if lost {
+	if switched {
 		// Not on the world's goroutine: closing waits for the network, which asks the world for zones while a
 		// zone is partitioned. The two deadlocked here (incident emulator-cut-stall).
 		client.CloseIdleConnections()
--- a/internal/emulator/troubles.go
+++ b/internal/emulator/troubles.go
@@ -71,7 +71,7 @@
 }
 
 // runs tells whether a machine has booted and neither died nor hangs.
-func (m *machine) runs() bool { return m.up && !m.dead && !m.hung }
+func (m *machine) runs() bool { return m.up && !m.dead && !m.frozen }
 
 func (w *World) strike(id string, t MachineFault) error {
 	m := w.machines[id]
@@ -80,38 +80,38 @@
 	}
 	switch t {
 	case Hang:
-		m.hang()
+		m.freeze()
 	case Resume:
 		m.resume()
 	case Crash:
-		m.fail()
+		m.crash()
 	case FailTasks:
 		m.faulty = true
 		for _, t := range m.sorted() {
-			t.leave(protocol.CauseError)
+			t.exit(protocol.CauseError)
 		}
-		m.say()
+		m.triggerReport()
 	case SlowDown:
 		m.slowDown(0.25)
 	case ReclaimWithNotice:
 		at := time.Now().Add(notice)
-		m.leaves = &at
-		m.say()
-		w.loop.after(notice, func() { m.vanish("taken") })
+		m.reclaimAt = &at
+		m.triggerReport()
+		w.loop.after(notice, func() { m.remove("taken") })
 	case Reclaim:
-		m.vanish("taken")
+		m.remove("taken")
 	case DropInbound, HoldInbound:
-		m.deafen(t == HoldInbound)
+		m.dropInbound(t == HoldInbound)
 	case RestoreInbound:
-		m.hear()
+		m.restoreInbound()
 	case BlockOutbound, RestoreOutbound:
-		m.mute = t == BlockOutbound
+		m.outboundBlocked = t == BlockOutbound
 	case Isolate:
-		m.mute = true
-		m.deafen(true)
+		m.outboundBlocked = true
+		m.dropInbound(true)
 	case Rejoin:
-		m.mute = false
-		m.hear()
+		m.outboundBlocked = false
+		m.restoreInbound()
 	case Reboot:
 		m.reboot()
 	default:
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -81,7 +81,7 @@
 	rng   *rand.Rand
 	types map[string]*protocol.MachineType
 	rules *history.Checker
-	works map[string]*work
+	works map[string]*job
 	// The cloud.
 	machines map[string]*machine
 	order    []*machine // by name, gone ones among them while they are listed
@@ -117,7 +117,7 @@
 // New makes a world on a network, which lives as long as ctx. Its services listen as
 // cloud and state-CONTROLLER.
 func New(ctx context.Context, n Network, set Setup) (*World, error) {
-	w := &World{net: n, set: set, rng: rand.New(rand.NewPCG(set.Seed, 0x1dea)), types: map[string]*protocol.MachineType{}, works: map[string]*work{},
+	w := &World{net: n, set: set, rng: rand.New(rand.NewPCG(set.Seed, 0x1dea)), types: map[string]*protocol.MachineType{}, works: map[string]*job{},
 		machines: map[string]*machine{}, booked: map[string][]string{}, capacity: set.Capacity, prices: map[string]float64{}, lives: map[string]int{}, paidTo: time.Now(), boots: 1,
 		fronts: map[string]string{}, bucket: bucket(set.CloudRPS, 2)}
 	w.rules = history.NewChecker(history.Deployment{Limits: set.Limits(), CancelWithin: set.CancelWithin})
@@ -175,7 +175,7 @@
 	var stops []func()
 	w.loop.do(func() {
 		for _, m := range w.order {
-			m.vanish("the world ends")
+			m.remove("the world ends")
 		}
 		stops = w.stops
 	})
@@ -218,7 +218,7 @@
 func (w *World) RegisterJob(spec *protocol.JobSpec, run func(task int) time.Duration, mistake bool) {
 	w.loop.do(func() {
 		if w.works[spec.ID] == nil {
-			w.works[spec.ID] = &work{w: w, spec: spec, run: run, mistake: mistake, tasks: map[int]*progress{}, gangs: map[uint64]*gang{}}
+			w.works[spec.ID] = &job{w: w, spec: spec, run: run, mistake: mistake, tasks: map[int]*progress{}, gangs: map[uint64]*gang{}}
 			w.note(history.Event{Kind: history.Submitted, Job: spec.ID, Spec: spec})
 		}
 	})
@@ -270,7 +270,7 @@
 		c := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer("copies"), DisableKeepAlives: true}}
 		for _, rep := range all {
 			for _, addr := range to {
-				request(w.loop.ctx, c, http.MethodPost, "http://"+addr+"/checkin", rep, reportAnswer) // nobody hears the answer
+				request(w.loop.ctx, c, http.MethodPost, "http://"+addr+"/checkin", rep, reportTimeout) // nobody hears the answer
 			}
 		}
 	}()
