--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -15,16 +15,16 @@
 	"daledyke/internal/protocol"
 )
 
-// leastCharge is what a machine that is deleted costs at least.
+// minCharge is the shortest time that a deleted machine is charged for.
 const leastCharge = time.Minute
 
-// listedDead is for how long a machine that died stays listed as running.
+// crashedListedFor is how long a crashed machine remains listed as running.
 const listedDead = 30 * time.Second
 
-// mostListed bounds a page of the machine list.
+// maxListPage limits a page of the machine list.
 const mostListed = 500
 
-// cloudHandler serves the cloud's interface.
+// cloudHandler serves the cloud's API.
 func (w *World) cloudHandler() http.Handler {
 	r := httprouter.New()
 	r.GET("/catalog", func(rw http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -63,7 +63,7 @@
 			}
 			for _, id := range q.Machines {
 				if m := w.machines[id]; m != nil {
-					m.vanish("returned")
+					m.remove("returned")
 				}
 			}
 			return http.StatusOK, struct{}{}
@@ -72,8 +72,8 @@
 	return r
 }
 
-// maybeLate has f answer as cloudAnswer does; or, if requests are held up, has it done much
-// later, while its sender hears nothing: machines appear that nobody expects any more.
+// answerOrDelay answers as cloudAnswer does. If requests are delayed, it runs f after the delay and drops the
+// answer: machines appear that no controller expects any more.
 func (w *World) maybeLate(rw http.ResponseWriter, r *http.Request, f func() (int, any)) {
 	var late time.Duration
 	w.loop.do(func() {
@@ -92,7 +92,7 @@
 	w.cloudAnswer(rw, f)
 }
 
-// cloudAnswer has f answer on the loop, within the cloud's rate and out of outages.
+// cloudAnswer runs f on the loop and writes its answer, subject to the cloud's rate limit and outages.
 func (w *World) cloudAnswer(rw http.ResponseWriter, f func() (int, any)) {
 	status, body := http.StatusServiceUnavailable, any(problem("trouble"))
 	w.loop.do(func() {
@@ -107,7 +107,7 @@
 	answer(rw, status, body)
 }
 
-// rent carries a rental out; one that was carried out before is only answered again.
+// rent carries out a rental. A repeated request for the same booking receives the first answer.
 func (w *World) rent(q protocol.RentRequest) (int, any) {
 	t := w.types[q.Type]
 	if q.Booking == "" || t == nil || !slices.Contains(t.Zones, q.Zone) || q.Count < 1 || q.Count > protocol.MaxRent {
@@ -131,12 +131,12 @@
 	return http.StatusOK, protocol.MachineNames{Machines: ids}
 }
 
-// newMachine rents a machine, which boots.
+// newMachine rents a machine and starts its boot.
 func (w *World) newMachine(q protocol.RentRequest, t *protocol.MachineType) *machine {
 	id := fmt.Sprintf("host-%06d", w.machinesMade)
 	v := w.setup.Variation
-	m := &machine{w: w, id: id, kind: q, typ: t, born: time.Now(), session: 1, tasks: map[string]*task{}, speed: 1, fetchSpeed: 1,
-		node: w.machinesMade % max(1, len(w.setup.Controllers)), poke: make(chan struct{}, 1), resumed: make(chan struct{})}
+	m := &machine{w: w, id: id, kind: q, typ: t, rentedAt: time.Now(), session: 1, tasks: map[string]*task{}, speed: 1, fetchSpeed: 1,
+		controller: w.machinesMade % max(1, len(w.setup.Controllers)), reportNow: make(chan struct{}, 1), resumed: make(chan struct{})}
 	close(m.resumed)
 	w.machinesMade++
 	boot := t.BootS * w.bootFactor
@@ -149,18 +149,18 @@
 	if v.Speeds {
 		m.speed, m.fetchSpeed = w.uniform(0.9, 1), w.uniform(0.67, 1.33)
 	}
-	m.listed = m.born.Add(w.lag())
+	m.listedFrom = m.rentedAt.Add(w.lag())
 	w.machines[id] = m
 	w.machineList = append(w.machineList, m)
 	w.charge(m, 1)
 	w.record(history.Event{Kind: history.MachineRented, Machine: id, Type: q.Type, Zone: q.Zone, Spot: q.Spot})
 	if !v.Boots || w.rng.Float64() >= v.NeverUp {
-		w.loop.after(protocol.Seconds(boot), m.comeUp)
+		w.loop.after(protocol.Seconds(boot), m.startWorker)
 	}
 	return m
 }
 
-// lag is by how much the list is late with one piece of news.
+// listLag returns the delay of one update of the machine list.
 func (w *World) lag() time.Duration {
 	lag := w.setup.Variation.ListLag
 	if lag > 0 && w.rng.Float64() < 0.1 {
@@ -169,7 +169,7 @@
 	return lag
 }
 
-// price is what a machine costs an hour now.
+// price returns the current hourly price of a machine.
 func (w *World) price(m *machine) float64 {
 	if m.kind.Spot {
 		return m.typ.SpotPrice * w.spotFactors[m.typ.Name]
@@ -177,14 +177,14 @@
 	return m.typ.Price
 }
 
-// pay adds up what the machines cost until now.
+// accrueCost adds the cost of all machines up to now.
 func (w *World) pay() {
 	now := time.Now()
 	w.cost += w.hourlyCost * now.Sub(w.costAccruedTo).Hours()
 	w.costAccruedTo = now
 }
 
-// charge begins (1) or ends (-1) what a machine costs.
+// setCharged starts (1) or ends (-1) the charge for a machine.
 func (w *World) charge(m *machine, sign int) {
 	w.pay()
 	m.charged = sign > 0
@@ -192,14 +192,14 @@
 	w.chargedByType[m.typ.Name] += sign
 	w.hourlyCost += float64(sign) * w.price(m)
 	if sign < 0 {
-		w.cost += w.price(m) * max(0, leastCharge-time.Since(m.born)).Hours()
+		w.cost += w.price(m) * max(0, leastCharge-time.Since(m.rentedAt)).Hours()
 	}
 	if w.charged == 0 {
-		w.hourlyCost = 0 // of roundings
+		w.hourlyCost = 0 // clears rounding errors
 	}
 }
 
-// movePrices moves the spot prices, and again later.
+// updateSpotPrices changes the spot prices at random and schedules the next change.
 func (w *World) movePrices() {
 	w.pay()
 	for i := range w.setup.Types {
@@ -215,7 +215,7 @@
 	w.loop.after(30*time.Second, w.movePrices)
 }
 
-// list is a page of the machine list, as late as it is.
+// listMachines returns a page of the machine list, with its delays.
 func (w *World) list(from string, most int) protocol.MachineList {
 	l := protocol.MachineList{Machines: []protocol.Machine{}}
 	now := time.Now()
@@ -225,7 +225,7 @@
 		at++
 	}
 	for _, m := range w.machineList[at:] {
-		if now.Before(m.listed) || m.unlisted != nil && !now.Before(*m.unlisted) {
+		if now.Before(m.listedFrom) || m.unlistedFrom != nil && !now.Before(*m.unlistedFrom) {
 			continue
 		}
 		if len(l.Machines) == most {
@@ -234,21 +234,21 @@
 		}
 		status := "starting"
 		switch {
-		case m.failed != nil && now.After(m.failed.Add(listedDead)):
+		case m.failedAt != nil && now.After(m.failedAt.Add(listedDead)):
 			status = "failed"
 		case m.up && !now.Before(m.upAt.Add(w.setup.Variation.ListLag)):
 			status = "running"
 		}
 		l.Machines = append(l.Machines, protocol.Machine{ID: m.id, Addr: m.addr, Type: m.kind.Type, Zone: m.kind.Zone, Spot: m.kind.Spot,
-			Status: status, AgeS: max(0, now.Sub(m.born)-w.setup.Variation.ListLag).Seconds()})
+			Status: status, AgeS: max(0, now.Sub(m.rentedAt)-w.setup.Variation.ListLag).Seconds()})
 	}
 	return l
 }
 
-// forget drops machines that are gone and not listed any more, when there are many.
+// pruneMachineList removes machines that are gone and no longer listed, once there are many of them.
 func (w *World) forget(now time.Time) {
 	if len(w.machineList) < 2*len(w.machines)+100 {
 		return
 	}
-	w.machineList = slices.DeleteFunc(w.machineList, func(m *machine) bool { return m.unlisted != nil && !now.Before(*m.unlisted) })
+	w.machineList = slices.DeleteFunc(w.machineList, func(m *machine) bool { return m.unlistedFrom != nil && !now.Before(*m.unlistedFrom) })
 }
--- a/internal/emulator/machine_commands.go
+++ b/internal/emulator/machine_commands.go
@@ -9,17 +9,17 @@
 	"daledyke/internal/protocol"
 )
 
-// What a worker is told directly, and how commands are carried out.
+// Direct commands to a worker and their execution.
 
-// onLoop does f on the loop once the machine does not hang: what came meanwhile is
-// carried out late. A machine that is gone answers nothing.
-func (m *machine) onLoop(f func()) {
+// doWhenResponsive runs f on the loop once the machine responds: requests that arrive while it is frozen are
+// carried out late. A machine that is gone does not answer.
+func (m *machine) doWhenResponsive(f func()) {
 	for {
 		var resumed chan struct{}
 		lost := false
 		gone := !m.w.loop.do(func() {
-			resumed, lost = m.resumed, m.deaf && !m.held
-			if !m.hung && !m.deaf && !m.dead {
+			resumed, lost = m.resumed, m.inboundDropped && !m.inboundHeld
+			if !m.frozen && !m.inboundDropped && !m.dead {
 				f()
 				resumed = nil
 			}
@@ -27,8 +27,8 @@
 		if resumed == nil && !gone {
 			return
 		}
-		if lost { // it never arrives, and no answer comes
-			Sleep(m.ctx, reportAnswer)
+		if lost { // the request is lost and gets no answer
+			Sleep(m.ctx, reportTimeout)
 		}
 		if gone || lost || m.ctx.Err() != nil {
 			panic(http.ErrAbortHandler)
@@ -42,7 +42,7 @@
 
 func (m *machine) inspect(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	var rep protocol.Report
-	m.onLoop(func() { rep = m.snapshot() })
+	m.doWhenResponsive(func() { rep = m.snapshot() })
 	answer(w, http.StatusOK, rep)
 }
 
@@ -53,14 +53,14 @@
 		return
 	}
 	var rep protocol.Report
-	sent := m.w.Elapsed() // the network takes no time
+	sent := m.w.Elapsed() // the network has no latency
 	held := false
 	if m.w.loop.do(func() {
 		if held = m.w.delayedCommandShare > 0 && m.w.rng.Float64() < m.w.delayedCommandShare; held {
 			m.w.loop.after(time.Duration(m.w.uniform(2, 16)*float64(time.Second)), func() {
-				if !m.hung && !m.deaf && !m.dead && o.Token >= m.token && o.Session == m.session {
+				if !m.frozen && !m.inboundDropped && !m.dead && o.Token >= m.token && o.Session == m.session {
 					m.token = o.Token
-					m.obey(o.Commands, sent)
+					m.execute(o.Commands, sent)
 				}
 			})
 		}
@@ -69,33 +69,33 @@
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
-	m.onLoop(func() {
+	m.doWhenResponsive(func() {
 		if o.Token < m.token || o.Session != m.session {
 			status = http.StatusConflict
 		} else {
 			m.token = o.Token
-			m.obey(o.Commands, sent)
+			m.execute(o.Commands, sent)
 		}
 		rep = m.snapshot()
 	})
 	answer(w, status, rep)
 }
 
-// obey carries commands out in their order; sent is when they were sent.
-func (m *machine) obey(commands []protocol.Command, sent time.Duration) {
+// execute carries out commands in order; sent is when they were sent.
+func (m *machine) execute(commands []protocol.Command, sent time.Duration) {
 	for _, c := range commands {
 		t := m.tasks[c.Task]
 		switch {
 		case c.Verb == protocol.VerbStart && (t == nil || t.Attempt != c.Attempt):
-			m.start(c, t, sent)
+			m.startTask(c, t, sent)
 		case t == nil || t.Attempt != c.Attempt:
 		case c.Verb == protocol.VerbStop:
-			t.halt(c.GraceS)
+			t.stop(c.GraceS)
 		case c.Verb == protocol.VerbForget && t.State == protocol.TaskExited:
 			delete(m.tasks, c.Task)
 		}
 	}
 	if len(commands) > 0 {
-		m.say()
+		m.triggerReport()
 	}
 }
--- a/internal/emulator/troubles.go
+++ b/internal/emulator/troubles.go
@@ -71,7 +71,7 @@
 }
 
 // isRunning reports whether a machine has booted and has neither stopped nor frozen.
-func (m *machine) isRunning() bool { return m.up && !m.dead && !m.hung }
+func (m *machine) isRunning() bool { return m.up && !m.dead && !m.frozen }
 
 func (w *World) inject(id string, t MachineFault) error {
 	m := w.machines[id]
@@ -80,38 +80,38 @@
 	}
 	switch t {
 	case Hang:
-		m.hang()
+		m.freeze()
 	case Resume:
 		m.resume()
 	case Crash:
-		m.fail()
+		m.crash()
 	case FailTasks:
 		m.faulty = true
 		for _, t := range m.sortedTasks() {
-			t.leave(protocol.CauseError)
+			t.exit(protocol.CauseError)
 		}
-		m.say()
+		m.triggerReport()
 	case SlowDown:
 		m.slowDown(0.25)
 	case ReclaimWithNotice:
 		at := time.Now().Add(reclaimNotice)
-		m.leaves = &at
-		m.say()
-		w.loop.after(reclaimNotice, func() { m.vanish("taken") })
+		m.reclaimAt = &at
+		m.triggerReport()
+		w.loop.after(reclaimNotice, func() { m.remove("taken") })
 	case Reclaim:
-		m.vanish("taken")
+		m.remove("taken")
 	case DropInbound, HoldInbound:
-		m.deafen(t == HoldInbound)
+		m.dropInbound(t == HoldInbound)
 	case RestoreInbound:
-		m.hear()
+		m.restoreInbound()
 	case BlockOutbound, RestoreOutbound:
-		m.mute = t == BlockOutbound
+		m.outboundBlocked = t == BlockOutbound
 	case Isolate:
-		m.mute = true
-		m.deafen(true)
+		m.outboundBlocked = true
+		m.dropInbound(true)
 	case Rejoin:
-		m.mute = false
-		m.hear()
+		m.outboundBlocked = false
+		m.restoreInbound()
 	case Reboot:
 		m.reboot()
 	default:
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -80,7 +80,7 @@
 	rng   *rand.Rand
 	types map[string]*protocol.MachineType
 	rules *history.Checker
-	jobs  map[string]*work
+	jobs  map[string]*job
 	// State of the cloud.
 	machines      map[string]*machine
 	machineList   []*machine // by name, including removed machines while they are listed
@@ -116,7 +116,7 @@
 // New returns a world on a network, which runs until ctx ends. Its services listen as cloud and
 // state-CONTROLLER.
 func New(ctx context.Context, n Network, set Setup) (*World, error) {
-	w := &World{net: n, setup: set, rng: rand.New(rand.NewPCG(set.Seed, 0x1dea)), types: map[string]*protocol.MachineType{}, jobs: map[string]*work{},
+	w := &World{net: n, setup: set, rng: rand.New(rand.NewPCG(set.Seed, 0x1dea)), types: map[string]*protocol.MachineType{}, jobs: map[string]*job{},
 		machines: map[string]*machine{}, bookings: map[string][]string{}, capacity: set.Capacity, spotFactors: map[string]float64{}, chargedByType: map[string]int{}, costAccruedTo: time.Now(), bootFactor: 1,
 		controllerAddrs: map[string]string{}, cloudLimiter: newLimiter(set.CloudRPS, 2)}
 	w.rules = history.NewChecker(history.Deployment{Limits: set.Limits(), CancelWithin: set.CancelWithin})
@@ -174,7 +174,7 @@
 	var stops []func()
 	w.loop.do(func() {
 		for _, m := range w.machineList {
-			m.vanish("the world ends")
+			m.remove("the world ends")
 		}
 		stops = w.stops
 	})
@@ -217,7 +217,7 @@
 func (w *World) RegisterJob(spec *protocol.JobSpec, run func(task int) time.Duration, mistake bool) {
 	w.loop.do(func() {
 		if w.jobs[spec.ID] == nil {
-			w.jobs[spec.ID] = &work{w: w, spec: spec, run: run, mistake: mistake, tasks: map[int]*progress{}, gangs: map[uint64]*gang{}}
+			w.jobs[spec.ID] = &job{w: w, spec: spec, run: run, mistake: mistake, tasks: map[int]*progress{}, gangs: map[uint64]*gang{}}
 			w.record(history.Event{Kind: history.Submitted, Job: spec.ID, Spec: spec})
 		}
 	})
@@ -266,7 +266,7 @@
 		c := &http.Client{Transport: &http.Transport{DialContext: w.net.Dialer("copies"), DisableKeepAlives: true}}
 		for _, rep := range all {
 			for _, addr := range to {
-				request(w.loop.ctx, c, http.MethodPost, "http://"+addr+"/checkin", rep, reportAnswer) // the answer is dropped
+				request(w.loop.ctx, c, http.MethodPost, "http://"+addr+"/checkin", rep, reportTimeout) // the answer is dropped
 			}
 		}
 	}()
