--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -16,13 +16,13 @@
 )
 
 // minCharge is the shortest time that a deleted machine is charged for.
-const leastCharge = time.Minute
+const minCharge = time.Minute
 
 // crashedListedFor is how long a crashed machine remains listed as running.
-const listedDead = 30 * time.Second
+const crashedListedFor = 30 * time.Second
 
 // maxListPage limits a page of the machine list.
-const mostListed = 500
+const maxListPage = 500
 
 // cloudHandler serves the cloud's API.
 func (w *World) cloudHandler() http.Handler {
@@ -40,14 +40,14 @@
 		q := r.URL.Query()
 		most, err := strconv.Atoi(q.Get("limit"))
 		if err != nil || most <= 0 {
-			most = mostListed
+			most = maxListPage
 		}
-		w.cloudAnswer(rw, func() (int, any) { return http.StatusOK, w.list(q.Get("from"), min(most, mostListed)) })
+		w.cloudAnswer(rw, func() (int, any) { return http.StatusOK, w.listMachines(q.Get("from"), min(most, maxListPage)) })
 	})
 	r.POST("/rentals", func(rw http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		var q protocol.RentRequest
 		err := read(r, &q)
-		w.maybeLate(rw, r, func() (int, any) {
+		w.answerOrDelay(rw, r, func() (int, any) {
 			if err != nil {
 				return http.StatusBadRequest, problem(err.Error())
 			}
@@ -57,7 +57,7 @@
 	r.POST("/rentals/return", func(rw http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		var q protocol.MachineNames
 		err := read(r, &q)
-		w.maybeLate(rw, r, func() (int, any) {
+		w.answerOrDelay(rw, r, func() (int, any) {
 			if err != nil || len(q.Machines) > protocol.MaxReturn {
 				return http.StatusBadRequest, problem("malformed")
 			}
@@ -74,7 +74,7 @@
 
 // answerOrDelay answers as cloudAnswer does. If requests are delayed, it runs f after the delay and drops the
 // answer: machines appear that no controller expects any more.
-func (w *World) maybeLate(rw http.ResponseWriter, r *http.Request, f func() (int, any)) {
+func (w *World) answerOrDelay(rw http.ResponseWriter, r *http.Request, f func() (int, any)) {
 	var late time.Duration
 	w.loop.do(func() {
 		if late = w.cloudLate; late > 0 {
@@ -149,10 +149,10 @@
 	if v.Speeds {
 		m.speed, m.fetchSpeed = w.spread(0.9, 1), w.spread(0.67, 1.33)
 	}
-	m.listedFrom = m.rentedAt.Add(w.lag())
+	m.listedFrom = m.rentedAt.Add(w.listLag())
 	w.machines[id] = m
 	w.order = append(w.order, m)
-	w.charge(m, 1)
+	w.setCharged(m, 1)
 	w.note(history.Event{Kind: history.MachineRented, Machine: id, Type: q.Type, Zone: q.Zone, Spot: q.Spot})
 	if !v.Boots || w.rng.Float64() >= v.NeverUp {
 		w.loop.after(protocol.Seconds(boot), m.startWorker)
@@ -161,7 +161,7 @@
 }
 
 // listLag returns the delay of one update of the machine list.
-func (w *World) lag() time.Duration {
+func (w *World) listLag() time.Duration {
 	lag := w.set.Variation.ListLag
 	if lag > 0 && w.rng.Float64() < 0.1 {
 		lag = time.Duration(float64(lag) * w.spread(1, 2))
@@ -178,21 +178,21 @@
 }
 
 // accrueCost adds the cost of all machines up to now.
-func (w *World) pay() {
+func (w *World) accrueCost() {
 	now := time.Now()
 	w.money += w.hourly * now.Sub(w.paidTo).Hours()
 	w.paidTo = now
 }
 
-// setCharged starts (1) or ends (-1) the charge for a machine.
-func (w *World) charge(m *machine, sign int) {
-	w.pay()
+// setCharged starts (1) or ends (-1) the setCharged for a machine.
+func (w *World) setCharged(m *machine, sign int) {
+	w.accrueCost()
 	m.charged = sign > 0
 	w.live += sign
 	w.lives[m.typ.Name] += sign
 	w.hourly += float64(sign) * w.price(m)
 	if sign < 0 {
-		w.money += w.price(m) * max(0, leastCharge-time.Since(m.rentedAt)).Hours()
+		w.money += w.price(m) * max(0, minCharge-time.Since(m.rentedAt)).Hours()
 	}
 	if w.live == 0 {
 		w.hourly = 0 // clears rounding errors
@@ -200,8 +200,8 @@
 }
 
 // updateSpotPrices changes the spot prices at random and schedules the next change.
-func (w *World) movePrices() {
-	w.pay()
+func (w *World) updateSpotPrices() {
+	w.accrueCost()
 	for i := range w.set.Types {
 		name := w.set.Types[i].Name
 		w.prices[name] = math.Max(0.67, math.Min(1.33, w.prices[name]*w.spread(0.93, 1.07)))
@@ -212,14 +212,14 @@
 			w.hourly += w.price(m)
 		}
 	}
-	w.loop.after(30*time.Second, w.movePrices)
+	w.loop.after(30*time.Second, w.updateSpotPrices)
 }
 
-// listMachines returns a page of the machine list, with its delays.
-func (w *World) list(from string, most int) protocol.MachineList {
+// listMachines returns a page of the machine listMachines, with its delays.
+func (w *World) listMachines(from string, most int) protocol.MachineList {
 	l := protocol.MachineList{Machines: []protocol.Machine{}}
 	now := time.Now()
-	w.forget(now)
+	w.pruneMachineList(now)
 	at, found := slices.BinarySearchFunc(w.order, from, func(m *machine, id string) int { return strings.Compare(m.id, id) })
 	if found {
 		at++
@@ -234,7 +234,7 @@
 		}
 		status := "starting"
 		switch {
-		case m.failedAt != nil && now.After(m.failedAt.Add(listedDead)):
+		case m.failedAt != nil && now.After(m.failedAt.Add(crashedListedFor)):
 			status = "failed"
 		case m.up && !now.Before(m.upAt.Add(w.set.Variation.ListLag)):
 			status = "running"
@@ -246,7 +246,7 @@
 }
 
 // pruneMachineList removes machines that are gone and no longer listed, once there are many of them.
-func (w *World) forget(now time.Time) {
+func (w *World) pruneMachineList(now time.Time) {
 	if len(w.order) < 2*len(w.machines)+100 {
 		return
 	}
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -148,7 +148,7 @@
 		t.State = protocol.TaskFlushing
 		t.timer = g.job.w.loop.after(protocol.Seconds(g.job.spec.SaveS), func() {
 			g.saved[t] = true
-			g.finish()
+			g.finishStop()
 		})
 	}
 }
@@ -164,7 +164,7 @@
 }
 
 // finishStop completes an orderly stop once all members have saved.
-func (g *gang) finish() {
+func (g *gang) finishStop() {
 	if g.dissolved || len(g.saved) < g.job.spec.Tasks {
 		return
 	}
--- a/internal/emulator/loop.go
+++ b/internal/emulator/loop.go
@@ -99,5 +99,5 @@
 	}
 }
 
-// elapsed returns the time since the loop started.
-func (l *loop) since() time.Duration { return time.Since(l.began) }
+// elapsed returns the time elapsed the loop started.
+func (l *loop) elapsed() time.Duration { return time.Since(l.began) }
--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -15,9 +15,9 @@
 	}
 	m.shutDown()
 	if m.charged {
-		m.w.charge(m, -1)
+		m.w.setCharged(m, -1)
 	}
-	at := time.Now().Add(m.w.lag())
+	at := time.Now().Add(m.w.listLag())
 	m.unlistedFrom = &at
 	delete(m.w.machines, m.id)
 	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: why})
@@ -29,7 +29,7 @@
 		return
 	}
 	m.shutDown()
-	m.w.charge(m, -1)
+	m.w.setCharged(m, -1)
 	now := time.Now()
 	m.failedAt = &now
 	m.w.note(history.Event{Kind: history.MachineGone, Machine: m.id, Cause: "died"})
--- a/internal/emulator/machine_test.go
+++ b/internal/emulator/machine_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".world"), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playWorld(t, file) })
+			synctest.Test(t, func(t *testing.T) { runScript(t, file) })
 		})
 	}
 }
@@ -44,7 +44,7 @@
 	late   map[string]chan int // answers that are still expected
 }
 
-func playWorld(t *testing.T, file string) {
+func runScript(t *testing.T, file string) {
 	f, err := os.Open(file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -131,7 +131,7 @@
 	}
 	w.loop = newLoop(ctx)
 	if set.Variation.Prices {
-		w.loop.do(w.movePrices)
+		w.loop.do(w.updateSpotPrices)
 	}
 	return w, nil
 }
@@ -188,7 +188,7 @@
 func (w *World) RecordEvent(e history.Event) { w.loop.do(func() { w.note(e) }) }
 
 func (w *World) note(e history.Event) {
-	e.At = w.loop.since()
+	e.At = w.loop.elapsed()
 	w.rules.Observe(e)
 	if w.set.Record != nil {
 		w.set.Record(e)
@@ -199,13 +199,13 @@
 func (w *World) WithChecker(f func(*history.Checker)) { w.loop.do(func() { f(w.rules) }) }
 
 // Elapsed is the time from the world's beginning.
-func (w *World) Elapsed() time.Duration { return w.loop.since() }
+func (w *World) Elapsed() time.Duration { return w.loop.elapsed() }
 
 // Sample is the state of the world now; it is noted, too.
 func (w *World) Sample() (s history.Sample) {
 	state := w.State.Counts()
 	w.loop.do(func() {
-		w.pay()
+		w.accrueCost()
 		s = history.Sample{Running: w.running, Waiting: w.rules.Waiting(), Machines: w.live, CoresUsed: w.used.Cores, Cores: w.whole.Cores,
 			StateRequests: state.Requests, StateChanges: state.Changes, Money: w.money}
 		w.note(history.Event{Kind: history.Sampled, Sample: &s})
