--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -130,7 +130,7 @@
 	}
 	w.loop = newLoop(ctx)
 	if set.Variation.Prices {
-		w.loop.do(w.movePrices)
+		w.loop.do(w.updateSpotPrices)
 	}
 	return w, nil
 }
@@ -187,7 +187,7 @@
 func (w *World) RecordEvent(e history.Event) { w.loop.do(func() { w.record(e) }) }
 
 func (w *World) record(e history.Event) {
-	e.At = w.loop.since()
+	e.At = w.loop.elapsed()
 	w.rules.Observe(e)
 	if w.setup.Record != nil {
 		w.setup.Record(e)
@@ -198,13 +198,13 @@
 func (w *World) WithChecker(f func(*history.Checker)) { w.loop.do(func() { f(w.rules) }) }
 
 // Elapsed returns the time since the world was created.
-func (w *World) Elapsed() time.Duration { return w.loop.since() }
+func (w *World) Elapsed() time.Duration { return w.loop.elapsed() }
 
 // Sample returns the current state of the world and records it as an event.
 func (w *World) Sample() (s history.Sample) {
 	state := w.State.Counts()
 	w.loop.do(func() {
-		w.pay()
+		w.accrueCost()
 		s = history.Sample{Running: w.running, Waiting: w.rules.Waiting(), Machines: w.charged, CoresUsed: w.usedRoom.Cores, Cores: w.totalRoom.Cores,
 			StateRequests: state.Requests, StateChanges: state.Changes, Money: w.cost}
 		w.record(history.Event{Kind: history.Sampled, Sample: &s})
