--- a/lint.sh
+++ b/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Formatting, go vet and staticcheck with all its checks, style among them; no file is exempt. A line
-# that has to be says why: //lint:ignore CHECK REASON.
+# Checks formatting and runs go vet and staticcheck with all checks, including style; no file is exempt. A
+# line that needs an exemption states the reason: //lint:ignore CHECK REASON.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l cmd internal)
--- a/regress.sh
+++ b/regress.sh
@@ -1,19 +1,19 @@
 #!/usr/bin/env bash
-# The regression runs on the users' bench; CONTRIBUTING.md tells which before what.
+# Regression runs on the users' bench; CONTRIBUTING.md says which run is required before which change.
 #
-#   ./regress.sh quick [WHY]    the two roughest days of each of the three smaller sites
-#   ./regress.sh fleet [WHY]    the same, and of the two fleet and the two hunt sites; all days of
-#                               the fleet and of the harbour are played, our own days (docs/days)
-#                               with three seeds, and the hunt sites are hunted a little
-#   ./regress.sh full  [WHY]    all seven in full, and a hunt on each; the same days as well
-#   ./regress.sh days  [WHY]    our own days alone
-#   ./regress.sh served REPORT...  days' reports (fleetbench run --report): who was served least
-#   ./regress.sh compare FILE   what a run printed earlier, compared again
-#   ./regress.sh keep FILE      makes the figures in FILE the ones to compare with
+#   ./regress.sh quick [WHY]    the two hardest days of each of the three smaller sites
+#   ./regress.sh fleet [WHY]    as quick, also for the two fleet and the two hunt sites; all days of the
+#                               fleet sites and the harbour site, the project's own days (docs/days)
+#                               with three seeds each, and a short hunt on each hunt site
+#   ./regress.sh full  [WHY]    all seven sites in full, a hunt on each, and the same days as with fleet
+#   ./regress.sh days  [WHY]    the project's own days only
+#   ./regress.sh served REPORT...  reads reports of days (fleetbench run --report): who was served least
+#   ./regress.sh compare FILE   compares again what an earlier run printed
+#   ./regress.sh keep FILE      makes the figures in FILE the baseline of later comparisons
 #
-# Exit status: 0 nothing fell, 1 a rule broke, a day failed or a figure fell by more
-# than 0.03 against docs/regression.txt, or a class of jobs or a team was served by less
-# than half on a day that was played, 2 it could not be run.
+# Exit status: 0 no regression, 1 a rule was broken, a day failed, a figure fell by more
+# than 0.03 against docs/regression.txt, or less than half of a class of jobs or of a team
+# was served on a day that was run, 2 the run was not possible.
 set -uo pipefail
 cd "$(dirname "$0")"
 given=../given/kit
@@ -24,18 +24,18 @@
 fleet=("$given/more/fleet/korvanel-ops-fleet.toml" "$given/more/fleet/lanyu-hosted-fleet.toml")
 hunted=("$given/more/hunt/korvanel-ops-hunt.toml" "$given/more/hunt/lanyu-hosted-hunt.toml")
 seeds=(11 12 13)
-# What the bench prints where a rule broke, and we where nothing came of a day.
+# Matches what the bench prints for a broken rule, and what this script prints for a day without a figure.
 broken='BROKEN|rules broken|NO FIGURE'
 
 usage() { sed -n '2,18s/^# \{0,1\}//p' "$0" >&2; exit 2; }
 
-# figures FILE: "site mode figure" for each site scored in what a run printed.
+# figures FILE: prints "site mode figure" for each scored site in the output of a run.
 figures() {
   sed -nE -e 's/^quick estimate on the standard days of ([^ ]+) .*: ([0-9.]+),? ?.*$/\1 quick \2/p' \
     -e 's/^score on the standard days of ([^ ]+) .*: ([0-9.]+),? ?.*$/\1 full \2/p' "$1"
 }
 
-# compare FILE: every figure against the kept one, and all that failed outright.
+# compare FILE: compares each figure with the baseline, and prints broken rules and failed days.
 compare() {
   local status=0 found=0 site mode now before
   while read -r site mode now; do
@@ -54,8 +54,8 @@
     echo "no figure was printed: nothing was scored" >&2
     status=1
   fi
-  # The bench names broken rules, and counts a day that failed as 0.00; "0 with a
-  # rule broken" is a hunt's all-clear.
+  # The bench names broken rules and scores a failed day as 0.00. A hunt without any failure prints
+  # "0 with a rule broken".
   if grep -nE "$broken"'|[1-9][0-9]* with a rule broken|missed (rules|node_restarts)|^[^ ].* [0-9]+ +0\.00 +[0-9]+/[0-9]+' "$1"; then
     echo "a rule broke or a day failed: see above" >&2
     status=1
@@ -63,16 +63,16 @@
   return $status
 }
 
-# A day fails if less than half of any one class, team or class's largest jobs is served; below
-# the second figure it is worth a look.
+# A day fails if the share served of any class, any team or the largest jobs of any class is below $least.
+# A share below $look is marked as low.
 least=0.5
 look=0.65
 
-# served REPORT...: for each day the class, the team and the class's largest jobs that were served
-# least. Of services the share of replica time counts, of other jobs the smaller of those that
-# began and those that were done, of all that were not cancelled; of teams and of largest jobs (to
-# begin within four minutes) those that began. Also a job that was left waiting though there was
-# room, a start after a confirmed cancellation and the like fail a day.
+# served REPORT...: prints for each day the class, the team and the class's largest jobs with the smallest
+# share served. The share of services is that of replica time. The share of other jobs is the smaller of the
+# started and the done ones among those not cancelled. The share of teams and of largest jobs (which are to
+# start within four minutes) is that of started jobs. A day also fails by a job that was left pending though
+# there was capacity, by a start after a confirmed cancellation and by similar faults.
 served() {
   command -v jq >/dev/null || { echo "jq is needed to read the days' reports" >&2; return 2; }
   local status=0 report line
@@ -100,7 +100,7 @@
   return $status
 }
 
-# play SITE...: all days of sites, and who was served least.
+# play SITE...: runs all days of the sites and prints who was served least.
 play() {
   local reports site day status=0
   reports=$(mktemp -d -t regress.XXXXXX)
@@ -114,8 +114,8 @@
   return $status
 }
 
-# own: the days in docs/days/SITE, with several seeds; what a day was worth and what broke on
-# it goes to the run's output, which compare reads.
+# own: runs the days in docs/days/SITE, each with several seeds. The figure and the broken rules of each day
+# go to the output of the run, which compare reads.
 own() {
   local printed site day seed status=0
   printed=$(mktemp -d -t regress.XXXXXX)
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The one test command: the linters, a build as a deployment does, and all tests but those that
-# KNOWN-RED.txt names, which are told.
+# Runs the whole check: the linters, the build that a deployment runs, and all tests except those named in
+# KNOWN-RED.txt, which are printed.
 set -euo pipefail
 cd "$(dirname "$0")"
 bash ./lint.sh
